--- /dev/null
+++ b/ladderfield/test_documentation.py
@@ -0,0 +1,109 @@
+"""What docs/design.md says guards each meeting of troubles exists: every test and every guard that its table names."""
+
+from __future__ import annotations
+
+import ast
+import re
+from pathlib import Path
+
+PACKAGE = Path(__file__).parent
+DESIGN = PACKAGE.parent / "docs" / "design.md"
+HEADING = "## Meetings of troubles"
+ABBREVIATIONS = {
+    "grace": "test_grace.py",
+    "cancelled": "test_cancelled.py",
+    "leaders": "test_leader_changes.py",
+    "looks": "jobs/test_close_looks.py",
+    "messages": "workers/test_old_messages.py",
+    "placement": "leader/test_placement.py",
+    "stranded": "leader/test_stranded.py",
+}
+WORDS = {"back", "cancel_s"}  # settings, no guards
+
+
+class Definitions(ast.NodeVisitor):
+    """All that a source file defines: functions, classes, their members and their attributes, by plain name and as
+    ``Class.member``."""
+
+    def __init__(self) -> None:
+        self.names: set[str] = set()
+        self._classes: list[str] = []
+
+    def add(self, name: str) -> None:
+        """A name defined in the class at hand, if any."""
+        self.names.add(name)
+        if self._classes:
+            self.names.add(f"{self._classes[-1]}.{name}")
+
+    def visit_ClassDef(self, node: ast.ClassDef) -> None:
+        self.add(node.name)
+        self._classes.append(node.name)
+        self.generic_visit(node)
+        self._classes.pop()
+
+    def visit_FunctionDef(self, node: ast.FunctionDef | ast.AsyncFunctionDef) -> None:
+        self.add(node.name)
+        self.generic_visit(node)
+
+    visit_AsyncFunctionDef = visit_FunctionDef
+
+    def visit_Name(self, node: ast.Name) -> None:
+        if isinstance(node.ctx, ast.Store):
+            self.add(node.id)
+
+    def visit_Attribute(self, node: ast.Attribute) -> None:
+        if isinstance(node.ctx, ast.Store):
+            self.add(node.attr)
+        self.generic_visit(node)
+
+
+def defined_in(path: Path) -> set[str]:
+    """The names that a file defines, and the same behind the file's module name."""
+    if not path.exists():
+        return set()
+    visitor = Definitions()
+    visitor.visit(ast.parse(path.read_text(encoding="utf-8")))
+    return visitor.names | {f"{path.stem}.{name}" for name in visitor.names}
+
+
+def rows() -> list[tuple[str, str]]:
+    """Guard and test of each meeting in the table."""
+    section = DESIGN.read_text(encoding="utf-8").split(HEADING)[1].split("\n## ")[0]
+    lines = [line for line in section.splitlines() if line.startswith("| ")][2:]
+    cells = [[cell.strip() for cell in line.strip("|").split(" | ")] for line in lines]
+    assert all(len(row) == 3 for row in cells), "a row has three columns"
+    return [(row[1], row[2]) for row in cells]
+
+
+def code_spans(text: str) -> list[str]:
+    """What stands between backquotes."""
+    return re.findall(r"`([^`]+)`", text)
+
+
+def test_the_table_of_meetings_is_read() -> None:
+    assert len(rows()) >= 27
+
+
+def test_every_file_and_test_in_the_table_of_meetings_exists() -> None:
+    missing = []
+    for _, tests in rows():
+        path: Path | None = None
+        for word in re.findall(r"`[^`]+`|\b[a-z]+(?=: )", tests):
+            span = word.strip("`")
+            if span.endswith(".py"):
+                path = PACKAGE / span
+            elif span in ABBREVIATIONS:
+                path = PACKAGE / ABBREVIATIONS[span]
+            elif span.startswith("test_") and (path is None or span not in defined_in(path)):
+                missing.append(f"{path}: {span}")
+        if path is None or not path.exists():
+            missing.append(tests)
+    assert not missing
+
+
+def test_every_guard_in_the_table_of_meetings_exists() -> None:
+    sources = [path for path in PACKAGE.rglob("*.py") if not path.name.startswith("test")]
+    known = set[str]().union(*(defined_in(path) for path in sources))
+    guards = {span for guard, _ in rows() for span in code_spans(guard)} - WORDS
+    assert len(guards) >= 35
+    assert guards - known == set()
--- /dev/null
+++ b/ladderfield/test_wire_format.py
@@ -0,0 +1,265 @@
+"""Every record, frame, request and answer is encoded to the same bytes as in the recorded samples.
+
+``testdata/wire_format.txt`` holds one sample per line: its name, a tab, and the bytes as a Python literal. A change
+of these bytes is a change of a protocol that other programs, or an earlier version of this one, speak.
+"""
+
+from __future__ import annotations
+
+import ast
+import time
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+import pytest
+import trio
+
+from ladderfield.fleet.cloud import Cloud
+from ladderfield.http import Client, Reply, Request, encode
+from ladderfield.jobs.cancellations import Cancellations
+from ladderfield.jobs.model import types_record
+from ladderfield.jobs.test_jobs import _door
+from ladderfield.leader.actor import Reported
+from ladderfield.leader.test_desk import Stage, launched, rung
+from ladderfield.leader.test_orders import claimed_leader
+from ladderfield.leadership import EPOCH, LEADER, Leadership, Term
+from ladderfield.peers import ANSWER, CANCELLED, HEALTH, RELAY, SELF, VOUCH, PeerLink, pack
+from ladderfield.rollout import VERSION
+from ladderfield.settings import Peer
+from ladderfield.state import StateClient, View
+from ladderfield.testing import TYPES, StateService, job, settings
+from ladderfield.vouching import Vouching
+from ladderfield.workers.intake import ReportDesk
+from ladderfield.workers.test_workers import RAW
+
+SAMPLES = Path(__file__).parent / "testdata" / "wire_format.txt"
+NOW = 1_700_000_000.25  # the time of day in all samples
+
+Samples = dict[str, bytes]
+
+
+def recorded() -> Samples:
+    """The samples as they were recorded."""
+    lines = SAMPLES.read_text(encoding="ascii").splitlines()
+    return {name: ast.literal_eval(literal) for name, literal in (line.split("\t") for line in lines)}
+
+
+def assert_recorded(prefix: str, samples: Samples) -> None:
+    """Compare all samples of one kind with the recorded ones, in both directions."""
+    expected = {name: value for name, value in recorded().items() if name.startswith(prefix + ".")}
+    assert {f"{prefix}.{name}": value for name, value in samples.items()} == expected
+
+
+def answer_bytes(reply: Reply | None) -> bytes:
+    """A reply's status, time to come back and body."""
+    assert reply is not None
+    return f"{reply.status} {reply.retry_after} ".encode() + reply.body
+
+
+@pytest.fixture(autouse=True)
+def _fixed_time(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(time, "time", lambda: NOW)
+
+
+@pytest.fixture
+def requests(monkeypatch: pytest.MonkeyPatch) -> Callable[[Any], list[bytes]]:
+    """Records the requests that go through any HTTP client; each is answered by what it is given."""
+    sent: list[bytes] = []
+
+    def answering(answer: Any) -> list[bytes]:
+        async def call(self: Client, method: str, target: str, body: Any, timeout: float) -> tuple[int, bytes]:
+            sent.append(f"{method} {target} ".encode() + (b"" if body is None else encode(body)))
+            return 200, encode(answer)
+
+        monkeypatch.setattr(Client, "call", call)
+        return sent
+
+    return answering
+
+
+async def test_requests_to_the_state_service(requests: Callable[[Any], list[bytes]]) -> None:
+    client = StateClient(settings())
+    sent = requests({"ledger": 5, "pairs": [], "stamp": 3, "hold": 9, "events": []})
+    await client.ledger(1.0)
+    await client.page("", 1.0)
+    await client.page("lf/j/req-000001", 1.0)
+    await client.stamp("lf/epoch", 1.0)
+    await client.grant(2.0, 1.0)
+    await client.touch(9, 1.0)
+    await client.watch(17, 10.0)
+    await client.commit({"lf/epoch": 3}, {"lf/p/0": {"a": 1}}, ["lf/j/req-000001"], 1.0)
+    await client.commit({}, {LEADER: {"member": "n0"}, EPOCH: {"epoch": 1}}, [], 1.0, 9, LEADER)
+    assert_recorded("state_request", {str(number): request for number, request in enumerate(sent)})
+
+
+async def test_requests_to_the_cloud(requests: Callable[[Any], list[bytes]]) -> None:
+    cloud = Cloud(settings())
+    sent = requests({"flavours": [], "hosts": []})
+    await cloud.types()
+    await cloud.rent("lf-7-1", "m4", "za", True, 3, lambda: True)
+    await cloud.delete(["i-000001", "i-000002"], lambda: True)
+    await cloud.list()
+    assert_recorded("cloud_request", {str(number): request for number, request in enumerate(sent)})
+
+
+async def _answers(door: Any, service: StateService) -> Samples:
+    """What users are answered, step by step."""
+    samples: Samples = {}
+
+    async def ask(name: str, method: str, path: str, body: Any = None) -> None:
+        samples[name] = answer_bytes(await door(Request(method, path, b"" if body is None else encode(body))))
+
+    await ask("ready", "GET", "/ready")
+    await ask("ready_method", "POST", "/ready")
+    await ask("submit_accepted", "POST", "/api/jobs", job("req-000001", dueS=40.0, flavours=["m4"], yard="za"))
+    await ask("submit_again", "POST", "/api/jobs", job("req-000001"))
+    await ask("submit_service", "POST", "/api/jobs", job("req-000002", shape="daemon", rank="production"))
+    await ask("submit_waiting", "POST", "/api/jobs", job("req-000003", waitsOn=["req-000001"]))
+    await ask("submit_malformed", "POST", "/api/jobs", {})
+    await ask("submit_impossible", "POST", "/api/jobs", job("req-000004", owner="grey"))
+    await ask("submit_on_unknown", "POST", "/api/jobs", job("req-000005", waitsOn=["req-000099"]))
+    await ask("submit_on_service", "POST", "/api/jobs", job("req-000005", waitsOn=["req-000002"]))
+    await ask("submit_method", "PUT", "/api/jobs")
+    await ask("poll_queued", "GET", "/api/jobs/req-000001")
+    claims = {"req-000001": {"d": [[0, 0]], "a": {"0": [1, "m"], "1": [2, "m"]}}}
+    await service._multi({"guards": [], "apply": [{"put": "lf/p/0", "value": claims}]})
+    await ask("poll_running", "GET", "/api/jobs/req-000001")
+    done = {"phase": "done", "done": 2, "at": NOW}
+    await service._multi({"guards": [], "apply": [{"put": "lf/f/req-000001", "value": done}]})
+    await ask("poll_done", "GET", "/api/jobs/req-000001")
+    await ask("poll_unknown", "GET", "/api/jobs/req-000098")
+    await ask("poll_malformed", "GET", "/api/jobs/x")
+    await ask("poll_method", "POST", "/api/jobs/req-000001")
+    await ask("cancel", "POST", "/api/jobs/req-000002/cancel")
+    await ask("cancel_again", "POST", "/api/jobs/req-000002/cancel")
+    await ask("cancel_done", "POST", "/api/jobs/req-000001/cancel")
+    await ask("cancel_unknown", "POST", "/api/jobs/req-000098/cancel")
+    await ask("cancel_method", "GET", "/api/jobs/req-000002/cancel")
+    door.busy = door.room
+    await ask("overload", "GET", "/api/jobs/req-000001")
+    return samples
+
+
+async def test_answers_to_users_and_the_records_behind_them(monkeypatch: pytest.MonkeyPatch) -> None:
+    async with trio.open_nursery() as nursery:
+        door, service = await _door(monkeypatch, nursery)
+        nursery.start_soon(door.rollout.run)
+        for member in ("n1", "n2"):
+            await service._multi({"guards": [], "apply": [{"put": VERSION + member, "value": {"level": 2}}]})
+        await trio.sleep(1)
+        answers = await _answers(door, service)
+        assert await Leadership(settings(), door.client, door.view)._campaign() is not None
+        records = {key: encode(value) for key, (value, _, _) in service.keys.items()}
+        nursery.cancel_scope.cancel()
+    assert_recorded("user_answer", answers)
+    assert_recorded("record", records)
+
+
+def test_records_of_the_leader() -> None:
+    stage = Stage()
+    attempt = launched(stage, 2)
+    stage.report(rungs=(rung(0, attempt, "exited", "done"), rung(1, attempt + 1)), now=3.0)
+    samples: Samples = {}
+    step = 0
+    for now in (3.0, 6.0):
+        while (txn := stage.ledger.collect(True)) is not None:
+            samples[f"{step}.guards"] = encode(txn.guards)
+            samples[f"{step}.puts"] = encode(txn.puts)
+            samples[f"{step}.deletes"] = encode(txn.deletes)
+            step += 1
+            stage.stamp += 1
+            stage.ledger.applied(txn, stage.stamp, now)
+        ended = tuple(rung(index, attempt + index, "exited", "done") for index in range(2))
+        samples[f"{step}.orders"] = encode(stage.report(rungs=ended, now=now + 1))
+    stage.submit("req-000002", shape="daemon", rungs=1, owner="blue")
+    stage.report(now=9.0)
+    stage.record(9.0)
+    samples["launch"] = encode(stage.report(now=10.0))
+    stage.tell("req-000002", "cancelled")
+    (claim,) = stage.machine().claims.values()
+    samples["stop"] = encode(stage.report(rungs=(rung(0, claim.attempt, uid="req-000002"),), now=11.0))
+    assert_recorded("leader", samples)
+
+
+async def test_answers_to_workers_and_orders(monkeypatch: pytest.MonkeyPatch) -> None:
+    own = settings(1)
+    client = StateClient(own)
+    view = View(client, own)
+    reports = ReportDesk(own, Leadership(own, client, view), {"n0": PeerLink(Peer("n0", "10.0.0.1:81"))})
+    samples: Samples = {}
+
+    async def report(name: str, body: Any, method: str = "POST") -> None:
+        samples[name] = answer_bytes(await reports(Request(method, "/v1/report", encode(body))))
+
+    await report("no_leader", RAW)
+    view.data = {LEADER: ({"member": "n0"}, 1), EPOCH: ({"epoch": 4}, 1)}
+    await report("redirected", RAW | {"tick": 2})
+    await report("malformed", {"host": 1})
+    await report("method", RAW, "GET")
+    leader = claimed_leader()
+    sent: list[bytes] = []
+
+    async def call(self: Client, method: str, target: str, body: Any, timeout: float) -> tuple[int, bytes]:
+        sent.append(f"{method} {target} ".encode() + encode(body))
+        return 200, b"{}"
+
+    monkeypatch.setattr(Client, "call", call)
+    async with trio.open_nursery() as nursery:
+        nursery.start_soon(_serve_one_report, leader, nursery)
+        reports.inbox = leader.send
+        await report("from_leader", RAW | {"host": "m", "tick": 2, "epoch": 7})
+        nursery.cancel_scope.cancel()
+    reports.inbox, _ = trio.open_memory_channel[Any](0)
+    await report("inbox_full", RAW)
+    other = claimed_leader()
+    async with trio.open_nursery() as nursery:
+        other.nursery = nursery
+        other._push(0.1)
+        await trio.sleep(0.1)
+        nursery.cancel_scope.cancel()
+    samples["orders"] = b"\n".join(sent)
+    assert_recorded("worker_answer", samples)
+
+
+async def _serve_one_report(leader: Any, nursery: trio.Nursery) -> None:
+    message = await leader.inbox.receive()
+    assert isinstance(message, Reported)
+    leader.nursery = nursery
+    leader._on_report(message, 0.2)
+
+
+async def test_frames_between_controllers(monkeypatch: pytest.MonkeyPatch) -> None:
+    names = {"relay": RELAY, "answer": ANSWER, "health": HEALTH, "vouch": VOUCH, "cancelled": CANCELLED}
+    samples = {name: pack(kind, 200, b"body") for name, kind in names.items()}
+    samples["self"] = SELF.pack(True, 6) + b"n1"
+    own = settings()
+    client = StateClient(own)
+    view = View(client, own)
+    view.data = {f"{VERSION}{member}": ({"level": 2}, 1) for member in ("n1", "n2")}
+    view.data |= {LEADER: ({"member": "n1"}, 2), EPOCH: ({"epoch": 6}, 3)}
+    view.synced, view.ledger, view.proven_at = True, 17, trio.current_time()
+    cancellations, link = Cancellations(), PeerLink(Peer("n1", "10.0.0.2:81"))
+    vouching = Vouching(Leadership(own, client, view), view, cancellations, {"n1": link})
+
+    async def ask(kind: int, body: bytes, timeout: float, status: int = 0) -> tuple[int, bytes] | None:
+        samples[f"asked_{kind}"] = body
+        return None
+
+    monkeypatch.setattr(link, "ask", ask)
+    await vouching.ask(Term(6, 3, 1, 0.0, 2.0, 17.0, 0.0), 1.0)
+    async with trio.open_nursery() as nursery:
+        nursery.start_soon(vouching.run_notices, 1.0)
+        cancellations.confirmed("req-000001", 18)
+        cancellations.confirmed("req-000002", 19)
+        await trio.sleep(1.5)
+        nursery.cancel_scope.cancel()
+    status, body = vouching.answer(samples[f"asked_{VOUCH}"])
+    samples["vouched"] = f"{status} ".encode() + body
+    assert_recorded("frame", samples)
+
+
+def test_machine_types_whole_and_cut_to_what_is_read() -> None:
+    worded = [TYPES[0] | {"note": "n" * 400}]
+    samples = {"whole": encode(types_record(worded, 1000)), "cut": encode(types_record(worded, 300))}
+    assert_recorded("types", samples)
