--- a/ladderfield/jobs/accept.py
+++ b/ladderfield/jobs/accept.py
@@ -19,7 +19,8 @@
 from ladderfield.jobs.chains import Chains
 from ladderfield.jobs.model import FINAL, FULL, JOB
 from ladderfield.settings import Settings
-from ladderfield.state import Refused, StateClient, Unavailable, View
+from ladderfield.state import Refused, StateClient, Unavailable
+from ladderfield.view import View
 
 log = logging.getLogger(__name__)
 
--- a/ladderfield/jobs/cancellations.py
+++ b/ladderfield/jobs/cancellations.py
@@ -11,7 +11,7 @@
 import trio
 
 from ladderfield.jobs.model import CANCELLED, FINAL
-from ladderfield.state import Change
+from ladderfield.view import Change
 
 KEPT = 4096  # the latest; who needs older ones is told nothing
 
--- a/ladderfield/jobs/chains.py
+++ b/ladderfield/jobs/chains.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 from ladderfield.jobs.model import CANCELLED, DONE, FINAL, JOB, PRODUCTION, RANKS, URGENT, jobs_on
-from ladderfield.state import Change
+from ladderfield.view import Change
 
 log = logging.getLogger(__name__)
 
--- a/ladderfield/jobs/door.py
+++ b/ladderfield/jobs/door.py
@@ -35,7 +35,8 @@
 from ladderfield.peers import PeerLink
 from ladderfield.rollout import Rollout
 from ladderfield.settings import Settings
-from ladderfield.state import StateClient, Unavailable, View
+from ladderfield.state import StateClient, Unavailable
+from ladderfield.view import View
 
 log = logging.getLogger(__name__)
 
--- a/ladderfield/jobs/test_chains.py
+++ b/ladderfield/jobs/test_chains.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from ladderfield.jobs.chains import Chains
-from ladderfield.state import Change
 from ladderfield.testing import accepted, job
+from ladderfield.view import Change
 
 URGENT, STANDARD, BEST_EFFORT = 1, 2, 3
 
--- a/ladderfield/jobs/test_jobs.py
+++ b/ladderfield/jobs/test_jobs.py
@@ -15,8 +15,9 @@
 from ladderfield.jobs.model import JobSpec, Malformed, impossible, parse, parse_types
 from ladderfield.rollout import Rollout
 from ladderfield.settings import Team
-from ladderfield.state import StateClient, View
+from ladderfield.state import StateClient
 from ladderfield.testing import TYPES, Net, StateService, job, settings
+from ladderfield.view import View
 
 KINDS = parse_types(TYPES)
 TEAMS = {"red": Team("red", cpus_max=16.0), "blue": Team("blue")}
--- a/ladderfield/leader/actor.py
+++ b/ladderfield/leader/actor.py
@@ -23,7 +23,8 @@
 from ladderfield.leader.ledger import Ledger, Txn
 from ladderfield.leadership import EPOCH, Term, grace_of
 from ladderfield.settings import Settings, address
-from ladderfield.state import Change, Outcome, Refused, StateClient, Unavailable, View
+from ladderfield.state import Outcome, Refused, StateClient, Unavailable
+from ladderfield.view import Change, View
 from ladderfield.workers.machine import Machine
 from ladderfield.workers.report import Report, parse_report
 
--- a/ladderfield/leader/desk.py
+++ b/ladderfield/leader/desk.py
@@ -35,8 +35,8 @@
 from ladderfield.queues.pick import Queues, Tier, tiers
 from ladderfield.queues.work import Claim, Job, Record, Shape, Share, TaskId, task_name
 from ladderfield.settings import Settings
-from ladderfield.state import Change
 from ladderfield.teams import Teams
+from ladderfield.view import Change
 from ladderfield.workers.machine import UNKNOWN, Machine
 
 log = logging.getLogger(__name__)
--- a/ladderfield/leader/test_desk.py
+++ b/ladderfield/leader/test_desk.py
@@ -12,8 +12,8 @@
 from ladderfield.leader.ledger import Ledger
 from ladderfield.leader.pages import encoded_size
 from ladderfield.leadership import EPOCH, Term
-from ladderfield.state import Change
 from ladderfield.testing import TYPES, accepted, job, settings
+from ladderfield.view import Change
 from ladderfield.workers.machine import CLOCKS, Machine
 from ladderfield.workers.report import Report
 
--- a/ladderfield/leader/test_orders.py
+++ b/ladderfield/leader/test_orders.py
@@ -12,8 +12,9 @@
 from ladderfield.jobs.chains import Chains
 from ladderfield.leader.actor import Leader
 from ladderfield.leadership import EPOCH, Term
-from ladderfield.state import Change, StateClient, View
+from ladderfield.state import StateClient
 from ladderfield.testing import TYPES, accepted, job, settings
+from ladderfield.view import Change, View
 from ladderfield.workers.report import Report
 
 
--- a/ladderfield/leader/test_size.py
+++ b/ladderfield/leader/test_size.py
@@ -13,8 +13,9 @@
 from ladderfield.peers import back_most
 from ladderfield.queues.pick import Queues
 from ladderfield.server import USERS_SHARE
-from ladderfield.state import StateClient, View
+from ladderfield.state import StateClient
 from ladderfield.testing import settings
+from ladderfield.view import View
 from ladderfield.workers.machine import Machine
 
 MACHINES = 400
--- a/ladderfield/leader/test_unheard.py
+++ b/ladderfield/leader/test_unheard.py
@@ -14,8 +14,9 @@
 from ladderfield.leader.test_desk import ABOUT, EPOCH_NOW, Stage, inherited, launched, rung
 from ladderfield.leadership import Term
 from ladderfield.queues.work import Claim
-from ladderfield.state import StateClient, View
+from ladderfield.state import StateClient
 from ladderfield.testing import accepted, job, settings
+from ladderfield.view import View
 from ladderfield.workers.machine import UNKNOWN, Machine
 from ladderfield.workers.report import Report, parse_report
 
--- a/ladderfield/leadership.py
+++ b/ladderfield/leadership.py
@@ -17,7 +17,8 @@
 from ladderfield.jobs.model import FULL
 from ladderfield.rollout import VOUCHING, level_of
 from ladderfield.settings import Settings
-from ladderfield.state import StateClient, Unavailable, View
+from ladderfield.state import StateClient, Unavailable
+from ladderfield.view import View
 from ladderfield.workers.machine import CLOCKS
 from ladderfield.workers.report import EPOCH_MOST
 
--- a/ladderfield/rollout.py
+++ b/ladderfield/rollout.py
@@ -13,7 +13,8 @@
 import trio
 
 from ladderfield.settings import Settings
-from ladderfield.state import StateClient, Unavailable, View
+from ladderfield.state import StateClient, Unavailable
+from ladderfield.view import View
 
 log = logging.getLogger(__name__)
 
--- a/ladderfield/server.py
+++ b/ladderfield/server.py
@@ -19,7 +19,8 @@
 from ladderfield.peers import CANCELLED, HEALTH, RELAY, SELF, VOUCH, BackServer, PeerLink, back_most
 from ladderfield.rollout import Rollout
 from ladderfield.settings import Settings, address
-from ladderfield.state import StateClient, Unavailable, View
+from ladderfield.state import StateClient, Unavailable
+from ladderfield.view import View
 from ladderfield.vouching import Strange, Vouching, parse_uids
 from ladderfield.workers.intake import ReportDesk
 
--- a/ladderfield/test_leadership.py
+++ b/ladderfield/test_leadership.py
@@ -14,8 +14,9 @@
 from ladderfield.leader.actor import Leader, Reported
 from ladderfield.leadership import EPOCH, Leadership, Term
 from ladderfield.settings import StateLimits
-from ladderfield.state import Change, Outcome, StateClient, View
+from ladderfield.state import Outcome, StateClient
 from ladderfield.testing import TYPES, accepted, job, settings
+from ladderfield.view import Change, View
 from ladderfield.workers.report import Report, Rung
 
 
--- a/ladderfield/test_versions.py
+++ b/ladderfield/test_versions.py
@@ -17,8 +17,9 @@
 from ladderfield.leadership import Leadership
 from ladderfield.peers import HEALTH, RELAY, SELF, pack, unpack_head
 from ladderfield.rollout import VERSION
-from ladderfield.state import StateClient, View
+from ladderfield.state import StateClient
 from ladderfield.testing import job, settings
+from ladderfield.view import View
 
 # As the version in production writes it, byte for byte.
 JOB_RECORD = (
--- a/ladderfield/test_wire_format.py
+++ b/ladderfield/test_wire_format.py
@@ -27,8 +27,9 @@
 from ladderfield.peers import ANSWER, CANCELLED, HEALTH, RELAY, SELF, VOUCH, PeerLink, pack
 from ladderfield.rollout import VERSION
 from ladderfield.settings import Peer
-from ladderfield.state import StateClient, View
+from ladderfield.state import StateClient
 from ladderfield.testing import TYPES, StateService, job, settings
+from ladderfield.view import View
 from ladderfield.vouching import Vouching
 from ladderfield.workers.intake import ReportDesk
 from ladderfield.workers.test_workers import RAW
--- a/ladderfield/vouching.py
+++ b/ladderfield/vouching.py
@@ -30,7 +30,7 @@
 from ladderfield.leadership import Leadership, Term
 from ladderfield.peers import BODY_MOST, CANCELLED, VOUCH, PeerLink
 from ladderfield.rollout import VOUCHING, level_of
-from ladderfield.state import View
+from ladderfield.view import View
 from ladderfield.workers.machine import CLOCKS
 
 log = logging.getLogger(__name__)
--- a/ladderfield/workers/test_workers.py
+++ b/ladderfield/workers/test_workers.py
@@ -10,8 +10,9 @@
 from ladderfield.leadership import EPOCH, LEADER, Leadership
 from ladderfield.peers import PeerLink
 from ladderfield.settings import Peer
-from ladderfield.state import StateClient, View
+from ladderfield.state import StateClient
 from ladderfield.testing import settings
+from ladderfield.view import View
 from ladderfield.workers.intake import ReportDesk
 from ladderfield.workers.report import parse_report
 
