--- a/ladderfield/jobs/test_jobs.py
+++ b/ladderfield/jobs/test_jobs.py
@@ -16,7 +16,7 @@
 from ladderfield.rollout import Rollout
 from ladderfield.settings import Team
 from ladderfield.state import StateClient
-from ladderfield.testing import TYPES, Net, StateService, job, settings
+from ladderfield.testing import TYPES, Network, StateService, job, settings
 from ladderfield.view import View
 
 KINDS = parse_types(TYPES)
@@ -74,7 +74,7 @@
 
 
 async def _door(monkeypatch: pytest.MonkeyPatch, nursery: trio.Nursery) -> tuple[Door, StateService]:
-    net, service = Net(nursery), StateService()
+    net, service = Network(nursery), StateService()
     net.http("10.2.0.1:23", service)
     monkeypatch.setattr("ladderfield.http.connect", net.connect)
     service.keys["lf/types"] = (TYPES, 1, None)
--- a/ladderfield/leader/test_stranded.py
+++ b/ladderfield/leader/test_stranded.py
@@ -10,7 +10,7 @@
 from ladderfield.fleet.plan import Planner
 from ladderfield.leader.desk import Desk
 from ladderfield.leader.test_desk import Stage, launched, rung
-from ladderfield.testing_cluster import cluster
+from ladderfield.testing.cluster import cluster
 
 WAIT = 90.0  # seconds that no job may wait once a machine that fits has room
 
--- a/ladderfield/test_cancelled.py
+++ b/ladderfield/test_cancelled.py
@@ -7,7 +7,7 @@
 import trio
 
 from ladderfield.testing import SETTINGS
-from ladderfield.testing_cluster import Cluster, cluster, isolate
+from ladderfield.testing.cluster import Cluster, cluster, isolate
 
 CANCEL_S = SETTINGS["cluster"]["workers"]["cancel_s"]
 LEASE_S = SETTINGS["cluster"]["workers"]["lease_s"]
--- /dev/null
+++ b/ladderfield/test_controller_failures.py
@@ -0,0 +1,191 @@
+"""Controllers that crash, or lose the state service, the others or their workers: nothing runs twice."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import pytest
+import trio
+
+from ladderfield.testing import job
+from ladderfield.testing.cluster import cluster, isolate
+
+
+async def test_a_crashed_leader_is_followed_and_nothing_runs_twice(monkeypatch: pytest.MonkeyPatch) -> None:
+    async with cluster(monkeypatch) as whole:
+        uid = await whole.submit(rungs=16, cores=2.0)
+        await whole.busy(uid)
+        first = whole.leader()
+        whole.crash(first)
+        await trio.sleep(8)
+        assert whole.leader() != first
+        left = next(iter(whole.controllers))
+        await whole.until(left, uid, "done", 60)
+        assert len(whole.starts(uid)) == 16
+
+
+async def test_all_controllers_crash_and_the_job_still_finishes(monkeypatch: pytest.MonkeyPatch) -> None:
+    async with cluster(monkeypatch) as whole:
+        uid = await whole.submit(rungs=12)
+        await whole.busy(uid)
+        for number in range(3):
+            whole.crash(number)
+        await trio.sleep(3)
+        for number in range(3):
+            whole.start(number)
+        await trio.sleep(3)
+        await whole.until(1, uid, "done", 80)
+        assert len(whole.starts(uid)) == 12
+
+
+async def test_orders_of_a_deposed_leader_are_not_obeyed(monkeypatch: pytest.MonkeyPatch) -> None:
+    async with cluster(monkeypatch) as whole:
+        uid = await whole.submit(shape="daemon", rungs=2)
+        await whole.busy(uid)
+        old = whole.controllers[whole.leader()].leadership.term
+        assert old is not None
+        whole.crash(whole.leader())
+        await trio.sleep(8)
+        for worker in whole.cloud.workers.values():
+            assert not worker.late({"epoch": old.epoch, "tenure": worker.tenure, "orders": []})
+
+
+async def test_an_outage_of_the_state_service_kills_no_task(monkeypatch: pytest.MonkeyPatch) -> None:
+    async with cluster(monkeypatch) as whole:
+        uid = await whole.submit(shape="daemon", rungs=2)
+        await whole.busy(uid)
+        epoch = whole.controllers[whole.leader()].leadership.term.epoch  # type: ignore[union-attr]
+        whole.state.down = True
+        await trio.sleep(25)
+        assert sum(whole.on().values()) == 2
+        status, _ = await whole.call(0, "POST", "/api/jobs", job("req-000009"))
+        assert status == 503
+        whole.state.down = False
+        await trio.sleep(5)
+        assert len(whole.starts(uid)) == 2
+        assert whole.controllers[whole.leader()].leadership.term.epoch == epoch  # type: ignore[union-attr]
+
+
+async def test_a_leader_alone_without_the_state_service_is_replaced(monkeypatch: pytest.MonkeyPatch) -> None:
+    async with cluster(monkeypatch) as whole:
+        uid = await whole.submit(shape="daemon", rungs=2)
+        await whole.busy(uid)
+        first = whole.leader()
+        alone = whole.controllers[first]
+
+        async def unavailable(*_: Any, **__: Any) -> tuple[int, bytes]:
+            await trio.sleep(0.01)
+            return 503, b"{}"
+
+        alone.client._client.call = unavailable  # type: ignore[method-assign]
+        await trio.sleep(15)
+        assert whole.leader() != first
+        assert alone.leadership.term is None
+        assert len(whole.starts(uid)) == 2
+        assert sum(whole.on().values()) == 2
+
+
+async def test_an_error_in_the_tables_costs_a_term_and_no_more(monkeypatch: pytest.MonkeyPatch) -> None:
+    async with cluster(monkeypatch) as whole:
+        uid = await whole.submit(shape="daemon", rungs=2)
+        await whole.busy(uid)
+        first = whole.controllers[whole.leader()].leadership.term
+        assert first is not None
+        with monkeypatch.context() as broken:
+            broken.setattr("ladderfield.leader.desk.Desk.schedule", lambda self, now: 1 // 0)
+            await whole.submit(uid="req-000002")
+            await trio.sleep(1)
+        assert first.over.is_set() and len(whole.controllers) == 3
+        await trio.sleep(5)
+        assert whole.leader() in whole.controllers
+        assert len(whole.starts(uid)) == 2 and await whole.phase(0, uid) == "running"
+
+
+async def test_a_leader_with_nobody_but_its_workers_makes_way(monkeypatch: pytest.MonkeyPatch) -> None:
+    async with cluster(monkeypatch) as whole:
+        uid = await whole.submit(shape="daemon", rungs=3)
+        await whole.busy(uid)
+        await trio.sleep(3)
+        first = whole.leader()
+        await isolate(whole, first)
+        status, _ = 200, None
+        for _ in range(12):
+            await trio.sleep(1)
+            status, _ = await whole.call(first, "GET", "/ready")
+        assert status == 503, "users are sent elsewhere"
+        assert whole.leader() != first
+        other = whole.leader()
+        later = await whole.submit(other, uid="req-000002", rungs=4)
+        await whole.until(other, later, "done", 40)
+        assert len(whole.starts(uid)) == 3, "no replica was disturbed"
+
+
+async def test_a_follower_with_nobody_but_its_workers_loses_none_of_them(monkeypatch: pytest.MonkeyPatch) -> None:
+    async with cluster(monkeypatch) as whole:
+        uid = await whole.submit(shape="daemon", rungs=3)
+        await whole.busy(uid)
+        first = whole.leader()
+        await isolate(whole, next(n for n in whole.controllers if n != first))
+        whole.crash(first)
+        await trio.sleep(0.2)
+        whole.start(first)
+        await trio.sleep(40)
+        assert len(whole.starts(uid)) == 3 and sum(whole.on().values()) == 3
+
+
+async def test_back_within_a_moment_amid_an_election_and_unanswered_writes(monkeypatch: pytest.MonkeyPatch) -> None:
+    async with cluster(monkeypatch) as whole:
+        uid = await whole.submit(rungs=12)
+        steady = await whole.submit(uid="req-000002", shape="daemon", rungs=2)
+        await whole.busy(uid)
+        for pause in (0.05, 0.3, 1.1, 2.05):
+            whole.state.lose_answers = 2
+            for number in list(whole.controllers):
+                whole.crash(number)
+                await trio.sleep(0.05)
+                whole.start(number)
+            await trio.sleep(pause)
+        await trio.sleep(5)
+        await whole.until(1, uid, "done", 90)
+        assert [await whole.phase(node, steady) for node in range(3)] == ["running"] * 3
+        assert len({name for _, name, _ in whole.starts(uid)}) == 12
+
+
+async def test_a_leader_that_only_the_state_service_lost_makes_way_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Grown apart: it went on answering its workers, and the cloud, which could tell where they are, was down."""
+    async with cluster(monkeypatch) as whole:
+        uid = await whole.submit(shape="daemon", rungs=4)
+        await whole.busy(uid)
+        await trio.sleep(3)
+        first = whole.leader()
+        whole.cloud.down = True
+
+        async def unavailable(*_: Any, **__: Any) -> tuple[int, bytes]:
+            await trio.sleep(0.01)
+            return 503, b"{}"
+
+        alone = whole.controllers[first]
+        alone.client._client.call = alone.client._watcher.call = unavailable  # type: ignore[method-assign]
+        await trio.sleep(8)
+        assert alone.leadership.term is None, "it was told of its successor"
+        _, answer = await whole.call(first, "POST", "/v1/report", whole.cloud.workers["i-000000"].body())
+        assert answer.get("foreman") == f"n{whole.leader()}" or answer.get("epoch") == 2, "and names it, or relays"
+        await trio.sleep(30)
+        whole.cloud.down = False
+        await trio.sleep(10)
+        assert len(whole.starts(uid)) == 4
+
+
+async def test_a_leader_that_no_worker_can_reach_gives_no_machine_up(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Others carry the reports; that its own calls fail says nothing about the machines."""
+    async with cluster(monkeypatch) as whole:
+        uid = await whole.submit(shape="daemon", rungs=4)
+        await whole.busy(uid)
+        await trio.sleep(3)
+        first = whole.leader()
+        host = f"10.0.0.{first + 1}"
+        whole.net.cut_ports.add((host, 80))
+        whole.net.cut_ports.update((worker.address, 90) for worker in whole.cloud.workers.values())
+        await trio.sleep(60)
+        assert whole.leader() == first
+        assert len(whole.starts(uid)) == 4 and sum(whole.on().values()) == 4
--- a/ladderfield/test_documentation.py
+++ b/ladderfield/test_documentation.py
@@ -13,7 +13,7 @@
     "grace": "test_grace.py",
     "cancelled": "test_cancelled.py",
     "leaders": "test_leader_changes.py",
-    "looks": "jobs/test_close_looks.py",
+    "consistency": "jobs/test_consistency.py",
     "messages": "workers/test_old_messages.py",
     "placement": "leader/test_placement.py",
     "stranded": "leader/test_stranded.py",
@@ -102,7 +102,9 @@
 
 
 def test_every_guard_in_the_table_of_meetings_exists() -> None:
-    sources = [path for path in PACKAGE.rglob("*.py") if not path.name.startswith("test")]
+    sources = [
+        path for path in PACKAGE.rglob("*.py") if not path.name.startswith("test_") and path.parent.name != "testing"
+    ]
     known = set[str]().union(*(defined_in(path) for path in sources))
     guards = {span for guard, _ in rows() for span in code_spans(guard)} - WORDS
     assert len(guards) >= 35
--- a/ladderfield/test_grace.py
+++ b/ladderfield/test_grace.py
@@ -15,7 +15,7 @@
 from ladderfield.peers import CANCELLED, VOUCH
 from ladderfield.rollout import VERSION, VOUCHING
 from ladderfield.testing import SETTINGS, settings
-from ladderfield.testing_cluster import Cluster, cluster, refuse, silent_peer
+from ladderfield.testing.cluster import Cluster, cluster, refuse, silent_peer
 from ladderfield.vouching import ANSWER, QUESTION, Answer, Strange, known_until
 
 CANCEL_S = SETTINGS["cluster"]["workers"]["cancel_s"]
--- /dev/null
+++ b/ladderfield/test_job_lifecycle.py
@@ -0,0 +1,189 @@
+"""Jobs on a whole cluster, from submission to end: what users are answered and what runs."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import pytest
+import trio
+
+from ladderfield.http import Client, NoAnswer
+from ladderfield.testing import job
+from ladderfield.testing.cluster import cluster
+
+
+async def test_a_job_runs_and_every_controller_tells_the_same(monkeypatch: pytest.MonkeyPatch) -> None:
+    async with cluster(monkeypatch) as whole:
+        uid = await whole.submit(1, rungs=5)
+        await whole.until(2, uid, "running", 20)
+        await whole.until(0, uid, "done", 40)
+        assert [await whole.phase(node, uid) for node in range(3)] == ["done"] * 3
+        assert sorted(name for _, name, _ in whole.starts(uid)) == [f"{uid}/{n}" for n in range(5)]
+        status, answer = await whole.call(1, "POST", "/api/jobs", whole.jobs[uid])
+        assert (status, answer["phase"]) == (200, "done")
+        await trio.sleep(2)
+        assert not [key for key in whole.state.keys if key.startswith("lf/j/")]
+
+
+async def test_idle_machines_are_returned(monkeypatch: pytest.MonkeyPatch) -> None:
+    async with cluster(monkeypatch) as whole:
+        uid = await whole.submit()
+        await whole.until(0, uid, "done", 40)
+        await trio.sleep(40)
+        assert whole.cloud.hosts == {}
+
+
+async def test_done_only_when_the_last_task_is(monkeypatch: pytest.MonkeyPatch) -> None:
+    async with cluster(monkeypatch) as whole:
+        uid = await whole.submit(rungs=4)
+        slow = await whole.busy(uid)
+        for name in slow.on():
+            slow.ends[name] = trio.current_time() + 60
+        await trio.sleep(30)
+        assert await whole.phase(1, uid) == "running"
+        await whole.until(1, uid, "done", 40)
+
+
+async def test_unknown_jobs_are_404_and_not_invented(monkeypatch: pytest.MonkeyPatch) -> None:
+    async with cluster(monkeypatch) as whole:
+        assert await whole.phase(0, "req-999999") == "404"
+        assert await whole.phase(0, "nonsense") == "404"
+        status, _ = await whole.call(0, "POST", "/api/jobs/req-999999/cancel")
+        assert status == 404
+
+
+async def test_without_a_provably_fresh_view_only_final_states_are_told(monkeypatch: pytest.MonkeyPatch) -> None:
+    async with cluster(monkeypatch) as whole:
+        over = await whole.submit(uid="req-000001")
+        await whole.until(0, over, "done", 40)
+        live = await whole.submit(uid="req-000002", rungs=3, shape="daemon")
+        whole.state.down = True
+        assert await whole.phase(1, over) == "done"
+        assert await whole.phase(1, live) == "503"
+        assert await whole.phase(1, "req-000003") == "503"
+
+
+async def test_a_stale_view_is_not_answered_from(monkeypatch: pytest.MonkeyPatch) -> None:
+    async with cluster(monkeypatch) as whole:
+        whole.state.watch_lag = 0.5
+        uid = await whole.submit(0, shape="daemon", rungs=1)
+        assert await whole.phase(1, uid) in ("queued", "running")
+        await whole.call(0, "POST", f"/api/jobs/{uid}/cancel")
+        assert await whole.phase(1, uid) == "cancelled"
+
+
+async def test_a_late_submission_does_not_bring_a_job_back(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The job came to its end at another controller before this one's view heard of it."""
+    async with cluster(monkeypatch) as whole:
+        whole.state.watch_lag = 0.5
+        spec = job()
+        whole.jobs[spec["uid"]] = spec
+        final = {"put": f"lf/f/{spec['uid']}", "value": {"phase": "cancelled"}}
+        await whole.state._multi({"guards": [], "apply": [final]})
+        status, answer = await whole.call(1, "POST", "/api/jobs", spec)
+        assert (status, answer["phase"]) == (200, "cancelled")
+
+
+async def test_cancel_is_durable_and_takes_all_tasks_off(monkeypatch: pytest.MonkeyPatch) -> None:
+    async with cluster(monkeypatch) as whole:
+        uid = await whole.submit(shape="daemon", rungs=4)
+        await whole.busy(uid)
+        status, answer = await whole.call(2, "POST", f"/api/jobs/{uid}/cancel")
+        assert (status, answer["phase"]) == (200, "cancelled")
+        whole.crash(whole.leader())
+        await trio.sleep(10)
+        left = next(iter(whole.controllers))
+        assert await whole.phase(left, uid) == "cancelled"
+        assert not whole.on()
+        status, answer = await whole.call(left, "POST", f"/api/jobs/{uid}/cancel")
+        assert answer["phase"] == "cancelled"
+
+
+async def test_an_unanswered_write_is_repeated_and_does_no_harm(monkeypatch: pytest.MonkeyPatch) -> None:
+    async with cluster(monkeypatch) as whole:
+        whole.state.lose_answers = 1
+        spec = job(rungs=3)
+        whole.jobs[spec["uid"]] = spec
+        status, _ = await whole.call(0, "POST", "/api/jobs", spec)
+        assert status in (200, 201)
+        uid = spec["uid"]
+        whole.state.lose_answers = 2
+        await whole.until(0, uid, "done", 60)
+        assert len(whole.starts(uid)) == 3
+
+
+async def test_a_cloud_outage_does_not_stop_intake(monkeypatch: pytest.MonkeyPatch) -> None:
+    async with cluster(monkeypatch) as whole:
+        whole.cloud.down = True
+        whole.crash(0)
+        whole.start(0)
+        await trio.sleep(3)
+        uid = await whole.submit(0)
+        assert await whole.phase(1, uid) == "queued"
+        whole.cloud.down = False
+        await whole.until(1, uid, "done", 60)
+
+
+async def test_unexpected_machines_are_used_or_returned(monkeypatch: pytest.MonkeyPatch) -> None:
+    async with cluster(monkeypatch) as whole:
+        hire = {"hire": "late", "flavour": "m4", "yard": "za", "loaners": False, "howMany": 2}
+        client = Client("10.2.0.2", 84)
+        await client.call("POST", "/machines", hire, 5.0)
+        await trio.sleep(40)
+        assert whole.cloud.hosts == {}
+
+
+@pytest.mark.parametrize("trouble", ["hanging watch", "hanging calls", "an actor fails"])
+async def test_after_a_trouble_every_controller_tells_of_every_job(
+    monkeypatch: pytest.MonkeyPatch, trouble: str
+) -> None:
+    """Rule ``forgotten``: every question about an accepted job is answered again soon, whoever is asked."""
+    async with cluster(monkeypatch) as whole:
+        uid = await whole.submit(shape="daemon", rungs=1)
+        await whole.busy(uid)
+        one = whole.controllers[1]
+        calls = {"hanging watch": one.client._watcher, "hanging calls": one.client._client}
+        if trouble in calls:
+            client = calls[trouble]
+            real, until = client.call, trio.current_time() + 30
+
+            async def call(method: str, target: str, body: Any, timeout: float) -> tuple[int, bytes]:
+                if trio.current_time() < until:
+                    await trio.sleep(timeout)
+                    raise NoAnswer("half open")
+                return await real(method, target, body, timeout)
+
+            client.call = call  # type: ignore[method-assign]
+            await trio.sleep(30)
+        else:
+
+            async def wrong(*_: Any) -> None:
+                raise RuntimeError("a mistake")
+
+            monkeypatch.setattr(one.view, "_reached", wrong)
+            await trio.sleep(5)
+            monkeypatch.undo()
+            monkeypatch.setattr("ladderfield.http.connect", whole.net.connect)
+            monkeypatch.setattr("ladderfield.peers.connect", whole.net.connect)
+        later = await whole.submit(0, uid="req-000002", rungs=1)
+        await whole.until(1, uid, "running", 15)
+        await whole.until(1, later, "done", 60)
+
+
+async def test_a_watch_that_hangs_does_not_cost_a_poll(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A half-open connection brings nothing and no error: the poll that needs the view has it opened again."""
+    async with cluster(monkeypatch) as whole:
+        one = whole.controllers[1]
+        real, hung = one.client._watcher.call, [0]
+
+        async def call(method: str, target: str, body: Any, timeout: float) -> tuple[int, bytes]:
+            hung[0] += 1
+            if hung[0] == 1:
+                await trio.sleep(timeout)
+                raise NoAnswer("half open")
+            return await real(method, target, body, timeout)
+
+        one.client._watcher.call = call  # type: ignore[method-assign]
+        await whole.submit(0, uid="req-000001", shape="daemon", rungs=1)  # ends the watch that is open now
+        uid = await whole.submit(0, uid="req-000002", shape="daemon", rungs=1)
+        assert await whole.phase(1, uid) in ("queued", "running")
--- a/ladderfield/test_leader_changes.py
+++ b/ladderfield/test_leader_changes.py
@@ -9,7 +9,7 @@
 
 from ladderfield.http import NoAnswer
 from ladderfield.testing import job
-from ladderfield.testing_cluster import Cluster, cluster
+from ladderfield.testing.cluster import Cluster, cluster
 
 
 async def replace_leader(whole: Cluster, away: float) -> None:
--- a/ladderfield/testing_cluster.py
+++ b/ladderfield/testing/cluster.py
@@ -17,7 +17,7 @@
 from ladderfield.http import Client, NoAnswer, Server
 from ladderfield.peers import BackServer, PeerLink
 from ladderfield.server import Controller
-from ladderfield.testing import CloudService, Net, StateService, Worker, job, settings
+from ladderfield.testing import CloudService, Network, StateService, Worker, job, settings
 
 
 class Cluster:
@@ -25,7 +25,7 @@
 
     def __init__(self, nursery: trio.Nursery) -> None:
         self.nursery = nursery
-        self.net = Net(nursery)
+        self.net = Network(nursery)
         self.state = StateService()
         self.cloud = CloudService(self._boot)
         self.scopes: dict[int, trio.CancelScope] = {}
--- a/ladderfield/testing_looks.py
+++ b/ladderfield/testing/consistency.py
@@ -1,4 +1,4 @@
-"""Users who look closely, for the tests: they ask, submit again and cancel at all controllers within milliseconds.
+"""Users for the tests who ask, submit again and cancel at all controllers, and a check that all answers are consistent.
 
 Every answer is kept with when it was asked for and when it came. What was told before a question was asked binds the
 answer to it, whoever gives it: a job that was accepted stays known, one that was called over stays what it was called.
@@ -13,14 +13,14 @@
 import trio
 
 from ladderfield.http import NoAnswer
-from ladderfield.testing_cluster import Cluster
+from ladderfield.testing.cluster import Cluster
 
 FINAL = ("done", "cancelled")
 VERBS = ("GET", "POST", "cancel")
 
 
 @dataclass
-class Look:
+class Observation:
     """A question and its answer."""
 
     began: int  # places in the order of all that was asked and answered: many have the same time
@@ -32,32 +32,36 @@
     phase: str
 
 
-class Looks:
+class ConsistencyChecker:
     """All answers to users, by job."""
 
-    def __init__(self, whole: Cluster) -> None:
-        self.whole = whole
-        self.seen: dict[str, list[Look]] = {}
+    def __init__(self, cluster: Cluster) -> None:
+        self.cluster = cluster
+        self.seen: dict[str, list[Observation]] = {}
         self._order = count()
 
-    async def ask(self, node: int, verb: str, uid: str) -> Look | None:
+    async def ask(self, node: int, verb: str, uid: str) -> Observation | None:
         """One request, and what came of it; None if there was no answer."""
-        spec, began = self.whole.jobs[uid], next(self._order)
+        spec, began = self.cluster.jobs[uid], next(self._order)
         path = "/api/jobs" + ("" if verb == "POST" else f"/{uid}" + ("/cancel" if verb == "cancel" else ""))
         try:
-            status, answer = await self.whole.call(
+            status, answer = await self.cluster.call(
                 node, "GET" if verb == "GET" else "POST", path, spec if verb == "POST" else None
             )
         except (NoAnswer, OSError):
             return None
-        look = Look(began, next(self._order), trio.current_time(), node, verb, status, answer.get("phase", ""))
-        self.seen.setdefault(uid, []).append(look)
-        if look.phase == "done":
-            ran = {name for _, name, _ in self.whole.starts(uid)}
-            assert len(ran) == spec["rungs"] and not self.on(uid), f"not_done: {look}"
-        return look
-
-    async def crowd(self, uid: str, for_s: float, verbs: Iterable[str] = VERBS, every_s: float = 0.02) -> None:
+        observation = Observation(
+            began, next(self._order), trio.current_time(), node, verb, status, answer.get("phase", "")
+        )
+        self.seen.setdefault(uid, []).append(observation)
+        if observation.phase == "done":
+            ran = {name for _, name, _ in self.cluster.starts(uid)}
+            assert len(ran) == spec["rungs"] and not self.on(uid), f"not_done: {observation}"
+        return observation
+
+    async def ask_concurrently(
+        self, uid: str, for_s: float, verbs: Iterable[str] = VERBS, every_s: float = 0.02
+    ) -> None:
         """All kinds of requests at all controllers, again and again."""
         begin = trio.current_time()
         async with trio.open_nursery() as users:
@@ -70,22 +74,26 @@
 
     def on(self, uid: str) -> list[str]:
         """The job's tasks that are on machines."""
-        return [name for name in self.whole.on() if name.startswith(f"{uid}/")]
+        return [name for name in self.cluster.on() if name.startswith(f"{uid}/")]
 
-    def told(self, uid: str, *phases: str) -> Look | None:
+    def first_answer(self, uid: str, *phases: str) -> Observation | None:
         """The first answer that said this of the job."""
-        told = [look for look in self.seen[uid] if look.status in (200, 201) and look.phase in phases]
-        return min(told, key=lambda look: look.ended, default=None)
+        matching = [
+            observation
+            for observation in self.seen[uid]
+            if observation.status in (200, 201) and observation.phase in phases
+        ]
+        return min(matching, key=lambda observation: observation.ended, default=None)
 
     def check(self) -> None:
         """No answer is older than one that was there before it was asked for, and no final one contradicts another."""
-        for uid, looks in self.seen.items():
-            accepted = self.told(uid, "queued", "running", *FINAL)
-            finals = {phase: self.told(uid, phase) for phase in FINAL}
-            for look in looks:
-                if accepted is not None and look.began > accepted.ended:
-                    assert look.status not in (400, 404, 422), f"forgotten: {uid} {accepted} {look}"
+        for uid, observations in self.seen.items():
+            accepted = self.first_answer(uid, "queued", "running", *FINAL)
+            finals = {phase: self.first_answer(uid, phase) for phase in FINAL}
+            for observation in observations:
+                if accepted is not None and observation.began > accepted.ended:
+                    assert observation.status not in (400, 404, 422), f"forgotten: {uid} {accepted} {observation}"
                 for phase, final in finals.items():
-                    if final is not None and look.began > final.ended and look.status in (200, 201):
-                        assert look.phase == phase, f"went_back: {uid} {final} {look}"
+                    if final is not None and observation.began > final.ended and observation.status in (200, 201):
+                        assert observation.phase == phase, f"went_back: {uid} {final} {observation}"
             assert not all(finals.values()), f"went_back: {uid} {finals}"
--- a/ladderfield/workers/test_old_messages.py
+++ b/ladderfield/workers/test_old_messages.py
@@ -10,8 +10,8 @@
 
 from ladderfield.leader.test_desk import ABOUT, EPOCH_NOW, Stage, rung
 from ladderfield.testing import Worker, accepted, job
-from ladderfield.testing_cluster import Cluster, cluster
-from ladderfield.testing_looks import Looks
+from ladderfield.testing.cluster import Cluster, cluster
+from ladderfield.testing.consistency import ConsistencyChecker
 
 REPORT_S = 2.0
 WRITERS = {
@@ -23,14 +23,14 @@
 }
 
 
-async def _asked_until(looks: Looks, verb: str, uid: str, status: tuple[int, ...]) -> None:
+async def _asked_until(checker: ConsistencyChecker, verb: str, uid: str, status: tuple[int, ...]) -> None:
     """A user who asks again elsewhere, as users do."""
     for number in range(60):
-        look = await looks.ask(number % 3, verb, uid)
-        if look is not None and look.status in status:
+        observation = await checker.ask(number % 3, verb, uid)
+        if observation is not None and observation.status in status:
             return
         await trio.sleep(1)
-    raise AssertionError(f"{verb} {uid}: {looks.seen.get(uid)}")
+    raise AssertionError(f"{verb} {uid}: {checker.seen.get(uid)}")
 
 
 @pytest.mark.parametrize("late", [True, False], ids=["late", "answer lost"])
@@ -40,7 +40,7 @@
 ) -> None:
     """Of each writer some are carried out only after newer ones, or at once, with others reading what they wrote."""
     async with cluster(monkeypatch) as whole:
-        state, looks = whole.state, Looks(whole)
+        state, checker = whole.state, ConsistencyChecker(whole)
         most = left = 1 if writer == "elections" else 3
 
         def lost(keys: list[str]) -> bool:
@@ -68,13 +68,13 @@
             off: job(off, shape="daemon", cores=1.0),
         }
         for uid in whole.jobs:
-            await _asked_until(looks, "POST", uid, (200, 201))
+            await _asked_until(checker, "POST", uid, (200, 201))
         await whole.busy(off)
-        await looks.crowd(off, 0.1)
-        await _asked_until(looks, "cancel", off, (200,))
-        await looks.crowd(off, 0.1)
+        await checker.ask_concurrently(off, 0.1)
+        await _asked_until(checker, "cancel", off, (200,))
+        await checker.ask_concurrently(off, 0.1)
         await whole.until(0, ends, "done", 60)
-        await looks.crowd(ends, 0.1)
+        await checker.ask_concurrently(ends, 0.1)
         await trio.sleep(2 * REPORT_S)
         carry_out()
         first = whole.leader()
@@ -88,10 +88,10 @@
         epoch = whole.controllers[whole.leader()].leadership.known_epoch()
         assert epoch <= 2 + (writer == "elections" and not late), "and ends no term"
         for uid, phase in ((steady, "running"), (ends, "done"), (off, "cancelled")):
-            await looks.crowd(uid, 0.05, ("GET", "POST"))
+            await checker.ask_concurrently(uid, 0.05, ("GET", "POST"))
             assert [await whole.phase(node, uid) for node in range(3)] == [phase] * 3
-        looks.check()
-        assert len(whole.starts(steady)) == 2 and len(whole.starts(ends)) == 4 and not looks.on(off)
+        checker.check()
+        assert len(whole.starts(steady)) == 2 and len(whole.starts(ends)) == 4 and not checker.on(off)
 
 
 async def _old(whole: Cluster, uid: str, what: str) -> tuple[Worker, list[dict[str, Any]]]:
@@ -174,13 +174,13 @@
 ) -> None:
     """A launch is on its way while its leader ends; the machine, which hung, then goes on with it."""
     async with cluster(monkeypatch) as whole:
-        looks = Looks(whole)
+        checker = ConsistencyChecker(whole)
         warm = await whole.submit(uid="req-000001", shape="daemon", rungs=1, loaners=False)
         worker = await whole.busy(warm)
         uid = "req-000002"
         whole.jobs[uid] = job(uid, shape="daemon", rungs=1, loaners=False)
         worker.hold, worker.loses_answers = when != "executed, answer held", True
-        await looks.ask(0, "POST", uid)
+        await checker.ask(0, "POST", uid)
         await trio.sleep(0.3)
         assert (uid in str(worker.held)) == worker.hold or whole.starts(uid)
         whole.net.cut.add(worker.address)  # it hangs
@@ -200,8 +200,8 @@
             assert not any(worker.late(body) for body in held)
         await trio.sleep(30)
         if cancelled:
-            assert not looks.on(uid), "ran_cancelled"
+            assert not checker.on(uid), "ran_cancelled"
             assert await whole.phase(left, uid) == "cancelled"
         else:
-            assert len(looks.on(uid)) == 1 and len(whole.starts(uid)) == 1
+            assert len(checker.on(uid)) == 1 and len(whole.starts(uid)) == 1
         assert whole.on()[f"{warm}/0"] == 1 and len(whole.starts(warm)) == 1, "the machine was not given up for it"
