--- /dev/null
+++ b/ladderfield/leader/dispatcher.py
@@ -0,0 +1,117 @@
+"""Pushes of orders to workers over ``/orders``, many at a time, within a share of the sockets."""
+
+from __future__ import annotations
+
+import logging
+from typing import Any
+
+import trio
+
+from ladderfield.http import Client, NoAnswer
+from ladderfield.leader.desk import OVERDUE, Desk
+from ladderfield.leader.messages import Message, OrdersAnswered
+from ladderfield.leadership import Term
+from ladderfield.settings import Settings, address
+from ladderfield.workers.machine import Machine
+from ladderfield.workers.report import parse_report
+
+log = logging.getLogger(__name__)
+
+MOST_PUSHES = 64  # at once, at most
+PUSHES_SHARE = 1 / 24  # of the sockets: the same
+KEPT_SHARE = 1 / 10  # of the sockets: connections to workers that are kept for the next push
+SLOW_SHARE = 0.5  # of the pushes: for machines that may not answer
+PUSH_TIMEOUT = 1.0  # of report_s: how long a push waits for its answer
+
+
+class Dispatcher:
+    """Decides which machines get a push now, and makes it."""
+
+    nursery: trio.Nursery  # where pushes run
+
+    def __init__(self, settings: Settings, term: Term, desk: Desk, inbox: trio.MemorySendChannel[Message]) -> None:
+        self.term, self.desk, self.inbox = term, desk, inbox
+        self.report_s = settings.cluster.workers.report_s
+        sockets = settings.cluster.quota.max_connections
+        self.most_pushes = max(2, min(MOST_PUSHES, int(sockets * PUSHES_SHARE)))
+        self.most_kept = int(sockets * KEPT_SHARE)
+        self._waiting: set[str] = set()
+        self._under_way: dict[str, bool] = {}  # and whether the machine was silent then
+        self._clients: dict[str, Client] = {}  # by host, those used last at the end
+
+    def request(self, host: str) -> None:
+        """Have the machine told what it has to be told, as soon as a push is free."""
+        self._waiting.add(host)
+
+    def finished(self, host: str) -> None:
+        """The push to a machine is over."""
+        self._under_way.pop(host, None)
+
+    def forget(self, host: str) -> None:
+        """The machine is gone, and with it the connection to it."""
+        client = self._clients.pop(host, None)
+        if client is not None:
+            self.nursery.start_soon(client.drop)
+
+    def doubtful(self, machine: Machine, now: float) -> bool:
+        """Whether it is overdue or does not seem to hear us."""
+        return machine.deaf_since is not None or machine.silent_for(now, self.desk.term_from) > OVERDUE * self.report_s
+
+    def dispatch(self, now: float) -> None:
+        """Begin pushes. Machines that were not heard lately may let theirs wait long; these get only a part."""
+        slow = sum(1 for silent in self._under_way.values() if silent)
+        for host in list(self._waiting):
+            if len(self._under_way) >= self.most_pushes:
+                break
+            machine = self.desk.machines.get(host)
+            if machine is None or not machine.endpoint:
+                self._waiting.discard(host)
+                continue
+            silent = self.doubtful(machine, now)
+            if host in self._under_way or (silent and slow >= self.most_pushes * SLOW_SHARE):
+                continue
+            self._waiting.discard(host)
+            if self._begin(machine, silent, now):
+                slow += silent
+
+    def _begin(self, machine: Machine, silent: bool, now: float) -> bool:
+        """Begin a push unless there is nothing to say, or no way to say it from here."""
+        if machine.relayed and not silent:
+            return False  # another controller reaches it, we likely don't: its orders go with the answers
+        orders: list[dict[str, Any]] = []
+        if machine.epoch == self.term.epoch:
+            orders = self.desk.sessions.orders(machine, now, None, self.term.may_start(now))
+        if not orders and not silent and machine.epoch == self.term.epoch:
+            return False
+        self._under_way[machine.host] = silent
+        # The session for which these orders were made: one that began since must refuse them, or a launch would
+        # stand there with no claim behind it (ran_twice).
+        self.nursery.start_soon(self._push, machine, max(machine.tenure, 1), orders)
+        return True
+
+    async def _push(self, machine: Machine, tenure: int, orders: list[dict[str, Any]]) -> None:
+        host = machine.host
+        attempts = [order["try"] for order in orders if order["verb"] == "launch"]
+        executed, report = False, None
+        client = self._clients.pop(host, None)
+        try:
+            client = client or Client(*address(machine.endpoint), keep=1)
+            self._clients[host] = client
+            body = {"epoch": self.term.epoch, "tenure": tenure, "orders": orders}
+            status, data = await client.call("POST", "/orders", body, PUSH_TIMEOUT * self.report_s)
+            executed = status == 200
+            if status in (200, 409):
+                report = parse_report(data)
+        except (NoAnswer, ValueError) as error:
+            log.debug("machine %s: no answer to orders: %s", host, error)
+            self._clients.pop(host, None)
+        if client is not None and client is not self._clients.get(host):
+            await client.drop()
+        await self._drop_oldest()
+        await self.inbox.send(OrdersAnswered(host, attempts, executed, report))
+
+    async def _drop_oldest(self) -> None:
+        """Sockets are for workers and users first: the connections used last are kept, the others made again."""
+        while len(self._clients) > self.most_kept:
+            oldest = next(iter(self._clients))
+            await self._clients.pop(oldest).drop()
--- a/ladderfield/leader/failure_detector.py
+++ b/ladderfield/leader/failure_detector.py
@@ -42,7 +42,7 @@
         self._way = LATEST * desk.report_s + ANSWER_S + 2 * NEXT_S
         self._together = LOST_TOGETHER * desk.lease_s
 
-    def sole(self, now: float) -> None:
+    def no_other_leader(self, now: float) -> None:
         """All other controllers have said, since our term began, that they are not leader: no one else answers."""
         if now < self.others_until:
             log.info("epoch %d: no earlier leader is left", self.desk.epoch)
--- a/ladderfield/leader/test_desk.py
+++ b/ladderfield/leader/test_desk.py
@@ -251,7 +251,7 @@
 
 def test_the_wait_for_earlier_leaders_ends_when_all_others_say_they_follow() -> None:
     stage = Stage(inherited())
-    stage.desk.detector.sole(3.0)
+    stage.desk.detector.no_other_leader(3.0)
     stage.desk.sweep(3.0 + 12.0)
     assert stage.machine().claims, "but the lease itself may have been renewed until then"
     stage.desk.sweep(3.0 + 12.0 * CLOCKS + 0.01)
--- a/ladderfield/leader/test_orders.py
+++ b/ladderfield/leader/test_orders.py
@@ -50,8 +50,8 @@
 
     monkeypatch.setattr(Client, "call", call)
     async with trio.open_nursery() as nursery:
-        leader.nursery = nursery
-        leader._push(0.1)  # the call is yet to be made
+        leader.dispatcher.nursery = nursery
+        leader.dispatcher.dispatch(0.1)  # the call is yet to be made
         leader.desk.sessions.report(_report(2, 2), 0.1, answering=True)
         assert not leader.desk.machines["m"].claims
         await trio.sleep(0.1)
--- a/ladderfield/leader/test_size.py
+++ b/ladderfield/leader/test_size.py
@@ -81,9 +81,9 @@
     front, back = int(sockets * USERS_SHARE), back_most(sockets)
     assert machines + 100 <= front, "workers, and users beside them"
     assert back // peers >= 16, "relays"
-    outward = leader._keep + leader._couriers + back // peers * peers
+    outward = leader.dispatcher.most_kept + leader.dispatcher.most_pushes + back // peers * peers
     assert front + back + outward + 2 * KEPT + 2 <= sockets
-    assert leader._most >= machines, "a whole fleet reports at once after a takeover"
+    assert leader.inbox_size >= machines, "a whole fleet reports at once after a takeover"
 
 
 def test_large_jobs_begin_and_go_on_while_small_ones_keep_coming() -> None:
--- a/ladderfield/leader/test_unheard.py
+++ b/ladderfield/leader/test_unheard.py
@@ -9,8 +9,9 @@
 
 from ladderfield.fleet.cloud import Cloud
 from ladderfield.jobs.chains import Chains
-from ladderfield.leader.actor import Leader, Pushed
+from ladderfield.leader.actor import Leader
 from ladderfield.leader.desk import Desk
+from ladderfield.leader.messages import OrdersAnswered
 from ladderfield.leader.test_desk import ABOUT, EPOCH_NOW, Stage, inherited, launched, rung
 from ladderfield.leadership import Term
 from ladderfield.queues.work import Claim
@@ -144,7 +145,7 @@
     job_key = {"lf/j/req-000001": (accepted(job(rungs=3)), 4)}
     stage = Stage(job_key | pages)
     assert stage.desk.sweep(30.0) == []
-    stage.desk.detector.sole(31.0)
+    stage.desk.detector.no_other_leader(31.0)
     assert stage.desk.sweep(40.0) == [], "their leases may have been renewed until then"
     assert sorted(stage.desk.sweep(41.0)) == ["a", "b", "c"], "nobody else answers them"
 
@@ -175,7 +176,7 @@
     for heard_at, relayed, deaf_then in ((80.0, False, False), (100.0, True, False), (100.0, False, True)):
         machine.heard_at, machine.relayed = heard_at, relayed
         for _ in range(3):
-            leader._on_pushed(Pushed("m", [], False, None), 100.0)
+            leader._on_orders_answered(OrdersAnswered("m", [], False, None), 100.0)
         assert (machine.deaf_since is not None) == deaf_then
 
 
@@ -229,7 +230,7 @@
         for host in "abcde":
             stage.report(host, now=now)
         assert ("m" in stage.desk.sweep(now)) is False, "another may still answer it"
-        stage.desk.detector.sole(0.5)
+        stage.desk.detector.no_other_leader(0.5)
         assert ("m" in stage.desk.sweep(now)) is doomed
         stage.desk.detector.others_until = 36.0
 
--- a/ladderfield/server.py
+++ b/ladderfield/server.py
@@ -14,7 +14,8 @@
 from ladderfield.jobs.chains import Chains
 from ladderfield.jobs.door import SUBMIT_S, Door
 from ladderfield.jobs.model import FULL, TYPES, parse_types, types_record
-from ladderfield.leader.actor import Leader, Learnt, Sole
+from ladderfield.leader.actor import Leader
+from ladderfield.leader.messages import CancellationsLearned, NoOtherLeader
 from ladderfield.leadership import Leadership, Term
 from ladderfield.peers import CANCELLED, HEALTH, RELAY, SELF, VOUCH, BackServer, PeerLink, back_most
 from ladderfield.rollout import Rollout
@@ -48,7 +49,7 @@
         self.door = Door(settings, self.client, self.view, self.chains, self.rollout, self.cancellations, self.links)
         self.reports = ReportDesk(settings, self.leadership, self.links)
         self.vouching = Vouching(self.leadership, self.view, self.cancellations, self.links)
-        self.vouching.deliver = lambda uids: self.reports.tell_leader(Learnt(uids))
+        self.vouching.deliver = lambda uids: self.reports.tell_leader(CancellationsLearned(uids))
 
     async def handle(self, request: Request) -> Reply:
         """Any request to ``bind``."""
@@ -69,7 +70,7 @@
             return self.vouching.answer(body)
         if kind == CANCELLED:
             try:
-                self.reports.tell_leader(Learnt(parse_uids(body)))
+                self.reports.tell_leader(CancellationsLearned(parse_uids(body)))
             except Strange:
                 return 400, b""
             return 200, b""
@@ -90,14 +91,14 @@
                 if self.door.state_ok:
                     term.knows(self.view.proven_at)
                 else:
-                    self.reports.tell_leader(Learnt(*await self.vouching.ask(term, pause)))
+                    self.reports.tell_leader(CancellationsLearned(*await self.vouching.ask(term, pause)))
             if (
                 term is not None
                 and term is self.leadership.term
                 and not any(link.leads for link in self.links.values())
             ):
                 # All were asked after our term began, so no earlier leader is left to keep leases alive.
-                self.reports.tell_leader(Sole())
+                self.reports.tell_leader(NoOtherLeader())
             await trio.sleep(pause)
 
     async def run_terms(self, terms: trio.MemoryReceiveChannel[Term]) -> None:
--- a/ladderfield/test_leadership.py
+++ b/ladderfield/test_leadership.py
@@ -11,7 +11,8 @@
 
 from ladderfield.fleet.cloud import Cloud
 from ladderfield.jobs.chains import Chains
-from ladderfield.leader.actor import Leader, Reported
+from ladderfield.leader.actor import Leader
+from ladderfield.leader.messages import ReportReceived
 from ladderfield.leadership import EPOCH, Leadership, Term
 from ladderfield.settings import StateLimits
 from ladderfield.state import Outcome, StateClient
@@ -55,15 +56,15 @@
         Cloud(settings()),
         Chains(lambda key: None),
     )
-    leader._push = lambda now: None  # type: ignore[method-assign]
+    leader.dispatcher.dispatch = lambda now: None  # type: ignore[method-assign]
     leader.desk.load({"lf/types": (TYPES, 1), EPOCH: ({"epoch": 7}, 3)}, 0.0)
     leader.desk.take_changes([Change("lf/j/req-000001", accepted(job(rungs=1)), 5)], 0.0)
     bound = leader.term.known_at + leader.term.grace
     for now, answered, started in ((bound - 0.1, True, 0), (bound + 0.1, False, 0), (1.0, True, 1)):
-        message = Reported(_report(int(1000 - now)), False)
+        message = ReportReceived(_report(int(1000 - now)), False)
         leader.desk.sessions.report(_report(int(2000 - now)), now, answering=False)
         leader._on_report(message, now)
-        assert message.done.is_set() and (message.answer is not None) is answered
+        assert message.answer.is_set() and (message.answer.value is not None) is answered
         leader._advance(now)
         assert len(leader.desk.machines["m"].claims) == started
 
--- a/ladderfield/test_wire_format.py
+++ b/ladderfield/test_wire_format.py
@@ -20,7 +20,8 @@
 from ladderfield.jobs.cancellations import Cancellations
 from ladderfield.jobs.model import types_record
 from ladderfield.jobs.test_jobs import _door
-from ladderfield.leader.actor import Reported
+from ladderfield.leader.actor import Leader
+from ladderfield.leader.messages import ReportReceived
 from ladderfield.leader.test_desk import Stage, launched, rung
 from ladderfield.leader.test_orders import claimed_leader
 from ladderfield.leadership import EPOCH, LEADER, Leadership, Term
@@ -207,7 +208,7 @@
 
     monkeypatch.setattr(Client, "call", call)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(_serve_one_report, leader, nursery)
+        nursery.start_soon(_serve_one_report, leader)
         reports.inbox = leader.send
         await report("from_leader", RAW | {"host": "m", "tick": 2, "epoch": 7})
         nursery.cancel_scope.cancel()
@@ -215,18 +216,17 @@
     await report("inbox_full", RAW)
     other = claimed_leader()
     async with trio.open_nursery() as nursery:
-        other.nursery = nursery
-        other._push(0.1)
+        other.dispatcher.nursery = nursery
+        other.dispatcher.dispatch(0.1)
         await trio.sleep(0.1)
         nursery.cancel_scope.cancel()
     samples["orders"] = b"\n".join(sent)
     assert_recorded("worker_answer", samples)
 
 
-async def _serve_one_report(leader: Any, nursery: trio.Nursery) -> None:
+async def _serve_one_report(leader: Leader) -> None:
     message = await leader.inbox.receive()
-    assert isinstance(message, Reported)
-    leader.nursery = nursery
+    assert isinstance(message, ReportReceived)
     leader._on_report(message, 0.2)
 
 
--- a/ladderfield/workers/intake.py
+++ b/ladderfield/workers/intake.py
@@ -5,12 +5,12 @@
 import logging
 import math
 from collections import OrderedDict
-from typing import Any, TypeVar
+from typing import TypeVar
 
 import trio
 
 from ladderfield.http import Reply, Request
-from ladderfield.leader.actor import Reported
+from ladderfield.leader.messages import Message, ReportReceived
 from ladderfield.leadership import Leadership
 from ladderfield.peers import RELAY, PeerLink
 from ladderfield.settings import Settings
@@ -31,7 +31,7 @@
     def __init__(self, settings: Settings, leadership: Leadership, links: dict[str, PeerLink]) -> None:
         self.leadership, self.links = leadership, links
         self.lease_s = settings.cluster.workers.lease_s
-        self.inbox: trio.MemorySendChannel[Any] | None = None  # set while this controller is leader
+        self.inbox: trio.MemorySendChannel[Message] | None = None  # set while this controller is leader
         self._sent_away: OrderedDict[str, float] = OrderedDict()  # worker -> when it was named the leader
         self._carried: OrderedDict[str, float] = OrderedDict()  # worker -> until when its reports are relayed
         self._newest: OrderedDict[str, tuple[int, int]] = OrderedDict()  # worker -> tenure and tick
@@ -123,7 +123,7 @@
             return await self._relay(link, body, hops) or (421, b"{}")
         return 421, b"{}"
 
-    def tell_leader(self, message: object) -> bool:
+    def tell_leader(self, message: Message) -> bool:
         """Put a message into the leader's inbox; False if it is full, or we aren't leader."""
         if self.inbox is None:
             return False
@@ -134,14 +134,12 @@
         return True
 
     async def _ask_leader(self, report: Report, relayed: bool) -> Reply:
-        message = Reported(report, relayed)
+        message = ReportReceived(report, relayed)
         if not self.tell_leader(message):
             return Reply(503, {})
         with trio.move_on_after(ANSWER_S * ANSWER_BY):
-            await message.done.wait()
-            if message.answer is not None:
-                return Reply(200, message.answer)
-            return Reply(421, {})
+            answer = await message.answer.wait()
+            return Reply(421, {}) if answer is None else Reply(200, answer)
         return Reply(503, {})
 
     @staticmethod
