--- a/ladderfield/jobs/test_chains.py
+++ b/ladderfield/jobs/test_chains.py
@@ -92,7 +92,7 @@
     a, b = uids(2)
     records.accept(a)
     records.accept(b, a)
-    records.put("lf/j/second", {"jobs": records.data[f"lf/j/{b}"]["jobs"]})  # a retry at another door
+    records.put("lf/j/second", {"jobs": records.data[f"lf/j/{b}"]["jobs"]})  # a retry at another controller
     records.end(a, "cancelled")
     records.put(f"lf/j/{b}", None)
     assert records.chains.cancelled(b) and b in records.chains, "another record names it still"
--- a/ladderfield/jobs/test_consistency.py
+++ b/ladderfield/jobs/test_consistency.py
@@ -24,7 +24,7 @@
     elif trouble == "the state service is slow":
         whole.state.slow_s = 0.3
     elif trouble == "answers are lost":
-        # Of what doors and the leader write about jobs every second transaction is carried out and never answered.
+        # Every second transaction on jobs, by a controller or the leader, is carried out and never answered.
         counts = iter(range(10**6))
         whole.state.answer_s = lambda keys: math.inf if next(counts) % 2 and keys[0][:5] in ("lf/j/", "lf/f/") else 0.0
     elif trouble == "answers are late":
@@ -172,7 +172,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """It stands on a record that is named after another job and has no final record of its own yet: neither keeps a
-    door that knows nothing of all this from writing it once more."""
+    controller that knows nothing of all this from writing it once more."""
     async with cluster(monkeypatch) as whole:
         checker, first, later, beside = ConsistencyChecker(whole), "req-000001", "req-000002", "req-000003"
         await whole.submit(uid=first, shape="array", rungs=1)
@@ -189,7 +189,7 @@
 
 
 async def test_an_accepted_job_is_not_refused_for_what_a_door_does_not_know(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Accepted by a door with larger limits, of which ours has not heard yet; submitted again it is known."""
+    """Accepted by a controller with larger limits, of which ours has not heard yet; submitted again it is known."""
     async with cluster(monkeypatch) as whole:
         checker, uid = ConsistencyChecker(whole), "req-000001"
         whole.jobs[uid] = job(uid, bundle="x" * 20_000)
--- a/ladderfield/jobs/test_jobs.py
+++ b/ladderfield/jobs/test_jobs.py
@@ -1,4 +1,4 @@
-"""What is a job, what can never run, and how the door answers what it can't take."""
+"""What is a job, what can never run, and how the jobs API answers what it can't take."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 import trio
 
 from ladderfield.http import Client, Request
+from ladderfield.jobs.api import JobsApi
 from ladderfield.jobs.cancellations import Cancellations
 from ladderfield.jobs.chains import Chains
-from ladderfield.jobs.door import Door
 from ladderfield.jobs.model import JobSpec, Malformed, impossible, parse, parse_types
 from ladderfield.rollout import Rollout
 from ladderfield.settings import Team
@@ -73,7 +73,7 @@
     assert (why is None) if reason is None else (why is not None and reason in why)
 
 
-async def _door(monkeypatch: pytest.MonkeyPatch, nursery: trio.Nursery) -> tuple[Door, StateService]:
+async def serving_jobs_api(monkeypatch: pytest.MonkeyPatch, nursery: trio.Nursery) -> tuple[JobsApi, StateService]:
     net, service = Network(nursery), StateService()
     net.http("10.2.0.1:23", service)
     monkeypatch.setattr("ladderfield.http.connect", net.connect)
@@ -84,22 +84,22 @@
     nursery.start_soon(view.run_reads)
     chains, rollout = Chains(view.get), Rollout(settings(), client, view)
     view.followers.append(chains.take)
-    door = Door(settings(), client, view, chains, rollout, Cancellations())
-    nursery.start_soon(door.acceptor.run)
+    api = JobsApi(settings(), client, view, chains, rollout, Cancellations())
+    nursery.start_soon(api.submissions.acceptor.run)
     await trio.sleep(0.1)
-    return door, service
+    return api, service
 
 
 async def test_overload_is_answered_at_once_with_a_time_to_come_back(monkeypatch: pytest.MonkeyPatch) -> None:
     async with trio.open_nursery() as nursery:
-        door, _ = await _door(monkeypatch, nursery)
-        door.busy = door.room
+        api, _ = await serving_jobs_api(monkeypatch, nursery)
+        api.requests = api.most_requests
         begin = trio.current_time()
-        reply = await door(Request("POST", "/api/jobs", msgspec.json.encode(job())))
+        reply = await api(Request("POST", "/api/jobs", msgspec.json.encode(job())))
         assert reply is not None and reply.status == 503 and reply.retry_after
-        door.busy = 0
-        await door.client.writes.take(1000, urgent=True)
-        reply = await door(Request("POST", "/api/jobs", msgspec.json.encode(job())))
+        api.requests = 0
+        await api.cancellations.client.writes.take(1000, urgent=True)
+        reply = await api(Request("POST", "/api/jobs", msgspec.json.encode(job())))
         assert reply is not None and reply.status == 503 and reply.retry_after
         assert trio.current_time() - begin < 0.1
         nursery.cancel_scope.cancel()
@@ -107,12 +107,12 @@
 
 async def test_a_burst_of_polls_shares_reads(monkeypatch: pytest.MonkeyPatch) -> None:
     async with trio.open_nursery() as nursery:
-        door, service = await _door(monkeypatch, nursery)
+        api, service = await serving_jobs_api(monkeypatch, nursery)
         before = service.calls
         statuses: list[int] = []
 
         async def poll() -> None:
-            reply = await door(Request("GET", "/api/jobs/req-000001", b""))
+            reply = await api(Request("GET", "/api/jobs/req-000001", b""))
             assert reply is not None
             statuses.append(reply.status)
 
@@ -125,37 +125,37 @@
 
 async def test_a_known_job_is_never_refused_later(monkeypatch: pytest.MonkeyPatch) -> None:
     async with trio.open_nursery() as nursery:
-        door, service = await _door(monkeypatch, nursery)
+        api, service = await serving_jobs_api(monkeypatch, nursery)
         body = msgspec.json.encode(job())
-        first = await door(Request("POST", "/api/jobs", body))
+        first = await api(Request("POST", "/api/jobs", body))
         service.keys["lf/types"] = ([], 0, None)
-        door.teams.clear()
-        again = await door(Request("POST", "/api/jobs", body))
+        api.submissions.teams.clear()
+        again = await api(Request("POST", "/api/jobs", body))
         assert first is not None and again is not None and (first.status, again.status) == (201, 200)
         nursery.cancel_scope.cancel()
 
 
 async def test_strange_answers_of_the_state_service_count_as_none(monkeypatch: pytest.MonkeyPatch) -> None:
     async with trio.open_nursery() as nursery:
-        door, _ = await _door(monkeypatch, nursery)
+        api, _ = await serving_jobs_api(monkeypatch, nursery)
 
         async def strange(*_: Any, **__: Any) -> tuple[int, bytes]:
             return 200, b'{"ledger": "many", "pairs": 3}'
 
         monkeypatch.setattr(Client, "call", strange)
-        reply = await door(Request("GET", "/api/jobs/req-000001", b""))
+        reply = await api(Request("GET", "/api/jobs/req-000001", b""))
         assert reply is not None and reply.status == 503
-        reply = await door(Request("POST", "/api/jobs", msgspec.json.encode(job())))
+        reply = await api(Request("POST", "/api/jobs", msgspec.json.encode(job())))
         assert reply is not None and reply.status == 503
         nursery.cancel_scope.cancel()
 
 
-async def _submit(door: Door, *uids: str) -> dict[str, int]:
+async def _submit(api: JobsApi, *uids: str) -> dict[str, int]:
     """Submissions at the same moment; their statuses."""
     statuses: dict[str, int] = {}
 
     async def submit(uid: str) -> None:
-        reply = await door(Request("POST", "/api/jobs", msgspec.json.encode(job(uid))))
+        reply = await api(Request("POST", "/api/jobs", msgspec.json.encode(job(uid))))
         assert reply is not None
         statuses[uid] = reply.status
 
@@ -168,9 +168,9 @@
 async def test_a_burst_of_submissions_shares_records(monkeypatch: pytest.MonkeyPatch) -> None:
     """Fleet days: 131 jobs at the start took 6 s to be accepted, as each was a change of its own."""
     async with trio.open_nursery() as nursery:
-        door, service = await _door(monkeypatch, nursery)
+        api, service = await serving_jobs_api(monkeypatch, nursery)
         begin, uids = trio.current_time(), [f"req-{n:06d}" for n in range(60)]
-        assert set((await _submit(door, *uids)).values()) == {201}
+        assert set((await _submit(api, *uids)).values()) == {201}
         assert trio.current_time() - begin < 0.5 and service.ledger <= 4
         records = [value for key, (value, _, _) in service.keys.items() if key.startswith("lf/j/")]
         assert sorted(uid for record in records for uid in record["jobs"]) == uids
@@ -180,28 +180,28 @@
 
 async def test_a_job_too_large_for_a_record_costs_nobody_else_theirs(monkeypatch: pytest.MonkeyPatch) -> None:
     async with trio.open_nursery() as nursery:
-        door, service = await _door(monkeypatch, nursery)
-        reply = await door(Request("POST", "/api/jobs", msgspec.json.encode(job("req-000007", bundle="x" * 20_000))))
+        api, service = await serving_jobs_api(monkeypatch, nursery)
+        reply = await api(Request("POST", "/api/jobs", msgspec.json.encode(job("req-000007", bundle="x" * 20_000))))
         assert reply is not None and reply.status == 400
-        assert await _submit(door, "req-000001") == {"req-000001": 201}
+        assert await _submit(api, "req-000001") == {"req-000001": 201}
         assert service.ledger == 1
         nursery.cancel_scope.cancel()
 
 
 async def test_records_from_before_jobs_shared_them_are_read(monkeypatch: pytest.MonkeyPatch) -> None:
     async with trio.open_nursery() as nursery:
-        door, service = await _door(monkeypatch, nursery)
+        api, service = await serving_jobs_api(monkeypatch, nursery)
         old = {"spec": job("req-000005"), "at": 1.0, "block": 256}
         await service._multi({"guards": [], "apply": [{"put": "lf/j/req-000005", "value": old}]})
         await trio.sleep(1)
-        reply = await door(Request("GET", "/api/jobs/req-000005", b""))
+        reply = await api(Request("GET", "/api/jobs/req-000005", b""))
         assert reply is not None and reply.status == 200
         nursery.cancel_scope.cancel()
 
 
 async def test_a_job_that_is_decided_does_not_cost_the_others_their_record(monkeypatch: pytest.MonkeyPatch) -> None:
     async with trio.open_nursery() as nursery:
-        door, service = await _door(monkeypatch, nursery)
+        api, service = await serving_jobs_api(monkeypatch, nursery)
         real = service._multi
 
         async def overtaken(body: dict[str, Any]) -> Any:
@@ -210,8 +210,8 @@
             return await real(body)
 
         service._multi = overtaken  # type: ignore[method-assign]
-        await _submit(door, "req-000009")
-        assert await _submit(door, "req-000001", "req-000002", "req-000003") == {
+        await _submit(api, "req-000009")
+        assert await _submit(api, "req-000001", "req-000002", "req-000003") == {
             "req-000001": 201, "req-000002": 200, "req-000003": 201,
         }  # fmt: skip
         nursery.cancel_scope.cancel()
@@ -221,7 +221,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with trio.open_nursery() as nursery:
-        door, service = await _door(monkeypatch, nursery)
+        api, service = await serving_jobs_api(monkeypatch, nursery)
         bodies: list[dict[str, Any]] = []
         real = service._multi
 
@@ -231,9 +231,9 @@
 
         service._multi = noted  # type: ignore[method-assign]
         service.lose_answers = 1
-        statuses = await _submit(door, "req-000001", "req-000002")
+        statuses = await _submit(api, "req-000001", "req-000002")
         assert set(statuses.values()) == {503}, "nothing else answers either, so they are told to come back"
-        statuses = await _submit(door, "req-000001", "req-000002")
+        statuses = await _submit(api, "req-000001", "req-000002")
         assert set(statuses.values()) == {200}, "known all the time"
         await real({"guards": [], "apply": [{"put": f"lf/f/{uid}", "value": {"phase": "done"}} for uid in statuses]})
         await real({"guards": [], "apply": [{"delete": key} for key in service.keys if key.startswith("lf/j/")]})
--- a/ladderfield/server.py
+++ b/ladderfield/server.py
@@ -10,10 +10,11 @@
 
 from ladderfield.fleet.cloud import Cloud, CloudTrouble
 from ladderfield.http import Reply, Request, Server
+from ladderfield.jobs.api import JobsApi
 from ladderfield.jobs.cancellations import Cancellations
 from ladderfield.jobs.chains import Chains
-from ladderfield.jobs.door import SUBMIT_S, Door
 from ladderfield.jobs.model import FULL, TYPES, parse_types, types_record
+from ladderfield.jobs.responses import SUBMIT_S
 from ladderfield.leader.actor import Leader
 from ladderfield.leader.messages import CancellationsLearned, NoOtherLeader
 from ladderfield.leadership import Leadership, Term
@@ -23,7 +24,7 @@
 from ladderfield.state import StateClient, Unavailable
 from ladderfield.view import View
 from ladderfield.vouching import Strange, Vouching, parse_uids
-from ladderfield.workers.intake import ReportDesk
+from ladderfield.workers.report_handler import ReportHandler
 
 log = logging.getLogger(__name__)
 
@@ -46,8 +47,10 @@
         self.cancellations = Cancellations()
         self.view.followers += [self.chains.take, self.cancellations.take]
         self.rollout = Rollout(settings, self.client, self.view)
-        self.door = Door(settings, self.client, self.view, self.chains, self.rollout, self.cancellations, self.links)
-        self.reports = ReportDesk(settings, self.leadership, self.links)
+        self.jobs_api = JobsApi(
+            settings, self.client, self.view, self.chains, self.rollout, self.cancellations, self.links
+        )
+        self.reports = ReportHandler(settings, self.leadership, self.links)
         self.vouching = Vouching(self.leadership, self.view, self.cancellations, self.links)
         self.vouching.deliver = lambda uids: self.reports.tell_leader(CancellationsLearned(uids))
 
@@ -55,7 +58,7 @@
         """Any request to ``bind``."""
         reply = await self.reports(request)
         if reply is None:
-            reply = await self.door(request)
+            reply = await self.jobs_api(request)
         return reply or Reply(404, {"error": "no such path"})
 
     async def handle_back(self, kind: int, status: int, body: bytes) -> tuple[int, bytes]:
@@ -65,7 +68,7 @@
         if kind == HEALTH:
             leads = self.leadership.term is not None or self.reports.inbox is not None
             epoch, leader = self.leadership.latest()
-            return (200 if self.door.state_ok else 503), SELF.pack(leads, epoch) + leader.encode()
+            return (200 if self.jobs_api.state_ok else 503), SELF.pack(leads, epoch) + leader.encode()
         if kind == VOUCH:
             return self.vouching.answer(body)
         if kind == CANCELLED:
@@ -84,11 +87,11 @@
             async with trio.open_nursery() as nursery:
                 for link in self.links.values():
                     nursery.start_soon(link.check, pause)
-                self.door.state_ok = await self.view.fresh(pause)
+                self.jobs_api.state_ok = await self.view.fresh(pause)
             for link in self.links.values():
                 self.leadership.told(*link.knows)
             if term is not None and not term.over.is_set():
-                if self.door.state_ok:
+                if self.jobs_api.state_ok:
                     term.knows(self.view.proven_at)
                 else:
                     self.reports.tell_leader(CancellationsLearned(*await self.vouching.ask(term, pause)))
@@ -136,7 +139,7 @@
             for actor in (
                 self.view.run,
                 self.view.run_reads,
-                self.door.acceptor.run,
+                self.jobs_api.submissions.acceptor.run,
                 partial(self.leadership.run, send),
                 partial(self.run_terms, receive),
                 self.rollout.run,
--- a/ladderfield/state.py
+++ b/ladderfield/state.py
@@ -74,8 +74,9 @@
         host, port = address(settings.outside.state)
         self._client = Client(host, port)
         self._watcher = Client(host, port, keep=1)
-        # Nearly half of the writes are the one leader's, half is shared by the front doors. Every change wakes the
-        # watches of all controllers, so these have a share of the calls of their own; a tenth is left for renewals.
+        # Nearly half of the writes are the one leader's, half is shared by the controllers' jobs APIs. Every change
+        # wakes the watches of all controllers, so these have a share of the calls of their own; a tenth is left for
+        # renewals.
         self.writes = Budget(limits.write_rps * 0.5 / size)
         self.leader_writes = Budget(limits.write_rps * 0.45)
         self.watches = Budget(limits.rps * 0.4 / size)
--- a/ladderfield/test_versions.py
+++ b/ladderfield/test_versions.py
@@ -12,7 +12,7 @@
 
 from ladderfield.http import Request
 from ladderfield.jobs.model import JobSpec
-from ladderfield.jobs.test_jobs import _door
+from ladderfield.jobs.test_jobs import serving_jobs_api
 from ladderfield.leader.test_desk import EPOCH_NOW, Stage, rung
 from ladderfield.leadership import Leadership
 from ladderfield.peers import HEALTH, RELAY, SELF, pack, unpack_head
@@ -75,7 +75,7 @@
 
 async def test_an_old_epoch_and_an_old_answer_over_back_are_understood(monkeypatch: pytest.MonkeyPatch) -> None:
     async with trio.open_nursery() as nursery:
-        _, service = await _door(monkeypatch, nursery)
+        _, service = await serving_jobs_api(monkeypatch, nursery)
         client = StateClient(settings())
         view = View(client, settings())
         nursery.start_soon(view.run)
@@ -199,18 +199,18 @@
 
 async def test_an_old_version_reads_what_a_new_door_and_a_new_candidate_write(monkeypatch: pytest.MonkeyPatch) -> None:
     async with trio.open_nursery() as nursery:
-        door, service = await _door(monkeypatch, nursery)
-        nursery.start_soon(door.rollout.run)
+        api, service = await serving_jobs_api(monkeypatch, nursery)
+        nursery.start_soon(api.submissions.rollout.run)
         for changes in (
             {},
             {"dueS": 40.0, "flavours": ["m4"], "yard": "za"},
             {"shape": "daemon", "rank": "production"},
         ):
             uid = f"req-{len(service.keys):06}"
-            reply = await door(Request("POST", "/api/jobs", msgspec.json.encode(job(uid, **changes))))
+            reply = await api(Request("POST", "/api/jobs", msgspec.json.encode(job(uid, **changes))))
             assert reply is not None and reply.status == 201
-        await door(Request("POST", "/api/jobs/req-000001/cancel", b""))
-        leadership = Leadership(settings(), door.client, door.view)
+        await api(Request("POST", "/api/jobs/req-000001/cancel", b""))
+        leadership = Leadership(settings(), api.cancellations.client, api.lookup.view)
         await trio.sleep(1)
         term = await leadership._campaign()
         assert term is not None and term.epoch == 1
@@ -229,7 +229,7 @@
 
 
 def test_an_old_leader_would_start_what_waits_so_only_a_record_of_the_roll_out_keeps_it_off() -> None:
-    """Why the door asks the roll-out: to the old version such a record is a job like any other."""
+    """Why the jobs API asks the roll-out: to the old version such a record is a job like any other."""
     spec = msgspec.convert(job("req-000002", waitsOn=["req-000001"]), JobSpec)
     written = msgspec.to_builtins(spec)
     assert written["waitsOn"] == ["req-000001"] and not hasattr(msgspec.convert(written, OldSpec), "waitsOn")
--- a/ladderfield/test_wire_format.py
+++ b/ladderfield/test_wire_format.py
@@ -17,9 +17,10 @@
 
 from ladderfield.fleet.cloud import Cloud
 from ladderfield.http import Client, Reply, Request, encode
+from ladderfield.jobs.api import JobsApi
 from ladderfield.jobs.cancellations import Cancellations
 from ladderfield.jobs.model import types_record
-from ladderfield.jobs.test_jobs import _door
+from ladderfield.jobs.test_jobs import serving_jobs_api
 from ladderfield.leader.actor import Leader
 from ladderfield.leader.messages import ReportReceived
 from ladderfield.leader.test_desk import Stage, launched, rung
@@ -32,7 +33,7 @@
 from ladderfield.testing import TYPES, StateService, job, settings
 from ladderfield.view import View
 from ladderfield.vouching import Vouching
-from ladderfield.workers.intake import ReportDesk
+from ladderfield.workers.report_handler import ReportHandler
 from ladderfield.workers.test_workers import RAW
 
 SAMPLES = Path(__file__).parent / "testdata" / "wire_format.txt"
@@ -105,12 +106,12 @@
     assert_recorded("cloud_request", {str(number): request for number, request in enumerate(sent)})
 
 
-async def _answers(door: Any, service: StateService) -> Samples:
+async def _answers(api: JobsApi, service: StateService) -> Samples:
     """What users are answered, step by step."""
     samples: Samples = {}
 
     async def ask(name: str, method: str, path: str, body: Any = None) -> None:
-        samples[name] = answer_bytes(await door(Request(method, path, b"" if body is None else encode(body))))
+        samples[name] = answer_bytes(await api(Request(method, path, b"" if body is None else encode(body))))
 
     await ask("ready", "GET", "/ready")
     await ask("ready_method", "POST", "/ready")
@@ -138,20 +139,20 @@
     await ask("cancel_done", "POST", "/api/jobs/req-000001/cancel")
     await ask("cancel_unknown", "POST", "/api/jobs/req-000098/cancel")
     await ask("cancel_method", "GET", "/api/jobs/req-000002/cancel")
-    door.busy = door.room
+    api.requests = api.most_requests
     await ask("overload", "GET", "/api/jobs/req-000001")
     return samples
 
 
 async def test_answers_to_users_and_the_records_behind_them(monkeypatch: pytest.MonkeyPatch) -> None:
     async with trio.open_nursery() as nursery:
-        door, service = await _door(monkeypatch, nursery)
-        nursery.start_soon(door.rollout.run)
+        api, service = await serving_jobs_api(monkeypatch, nursery)
+        nursery.start_soon(api.submissions.rollout.run)
         for member in ("n1", "n2"):
             await service._multi({"guards": [], "apply": [{"put": VERSION + member, "value": {"level": 2}}]})
         await trio.sleep(1)
-        answers = await _answers(door, service)
-        assert await Leadership(settings(), door.client, door.view)._campaign() is not None
+        answers = await _answers(api, service)
+        assert await Leadership(settings(), api.cancellations.client, api.lookup.view)._campaign() is not None
         records = {key: encode(value) for key, (value, _, _) in service.keys.items()}
         nursery.cancel_scope.cancel()
     assert_recorded("user_answer", answers)
@@ -188,7 +189,7 @@
     own = settings(1)
     client = StateClient(own)
     view = View(client, own)
-    reports = ReportDesk(own, Leadership(own, client, view), {"n0": PeerLink(Peer("n0", "10.0.0.1:81"))})
+    reports = ReportHandler(own, Leadership(own, client, view), {"n0": PeerLink(Peer("n0", "10.0.0.1:81"))})
     samples: Samples = {}
 
     async def report(name: str, body: Any, method: str = "POST") -> None:
--- a/ladderfield/workers/intake.py
+++ b/ladderfield/workers/report_handler.py
@@ -25,7 +25,7 @@
 T = TypeVar("T")
 
 
-class ReportDesk:
+class ReportHandler:
     """Answers /v1/report."""
 
     def __init__(self, settings: Settings, leadership: Leadership, links: dict[str, PeerLink]) -> None:
--- a/ladderfield/workers/test_workers.py
+++ b/ladderfield/workers/test_workers.py
@@ -13,8 +13,8 @@
 from ladderfield.state import StateClient
 from ladderfield.testing import settings
 from ladderfield.view import View
-from ladderfield.workers.intake import ReportDesk
 from ladderfield.workers.report import parse_report
+from ladderfield.workers.report_handler import ReportHandler
 
 RAW = {
     "host": "i-1", "endpoint": "10.9.0.1:90", "flavour": "m4", "yard": "za", "loaners": False,
@@ -28,7 +28,7 @@
     view = View(client, own)
     view.data = {LEADER: ({"member": "n0"}, 1), EPOCH: ({"epoch": 4}, 1)}
     link = PeerLink(Peer("n0", "10.0.0.1:81"))
-    desk = ReportDesk(own, Leadership(own, client, view), {"n0": link})
+    desk = ReportHandler(own, Leadership(own, client, view), {"n0": link})
     up, ticks = True, iter(range(100))
 
     async def ask(kind: int, body: bytes, timeout: float, status: int = 0) -> tuple[int, bytes] | None:
@@ -75,7 +75,7 @@
     view = View(client, own)
     view.data = {LEADER: ({"member": "n0"}, 1), EPOCH: ({"epoch": 4}, 1)}
     link = PeerLink(Peer("n0", "10.0.0.1:81"))
-    desk = ReportDesk(own, Leadership(own, client, view), {"n0": link})
+    desk = ReportHandler(own, Leadership(own, client, view), {"n0": link})
 
     async def relayed(kind: int, body: bytes, timeout: float, status: int = 0) -> tuple[int, bytes] | None:
         return 200, b"{}"
