--- a/ladderfield/leader/sessions.py
+++ b/ladderfield/leader/sessions.py
@@ -43,47 +43,67 @@
 
     def report(self, report: Report, now: float, answering: bool) -> Machine | None:
         """Take a report in. ``answering``: it came to /v1/report, so that our answer renews the lease."""
-        desk = self.desk
         machine = self.machine(report.host, report.endpoint, report.type, report.zone, report.spot, now)
         if machine is None:
             return None
-        before, order = machine.heard_at, (report.tenure, report.tick)
-        answered = machine.answered
+        heard_before, answered_before = machine.heard_at, machine.answered
+        order = (report.tenure, report.tick)
         if answering:
-            machine.answered_at = now
-            if report.epoch == desk.epoch and (answered is None or order > answered):  # not a late copy
-                machine.reported_at = now
-                if machine.mute:
-                    machine.mute, desk.changed = False, True
-            machine.answered = max(order, answered or order)
-        if order <= (machine.tenure, machine.tick) and before is not None:
+            self._note_answer(machine, report, now)
+        if order <= (machine.tenure, machine.tick) and heard_before is not None:
             return machine  # overtaken on its way: what it lists is no longer so
-        accepted = report.epoch == desk.epoch
-        if before is None:
-            log.info("machine %s: %s in %s is up", machine.host, machine.kind.name, machine.zone)
-            machine.up_at = now
-        if accepted and (machine.fresh_at is None or now - machine.fresh_at > desk.report_s):
-            desk.changed = True
-        machine.heard_at = now
-        if accepted:
-            machine.fresh_at = now
-        new_session = report.tenure > machine.tenure
-        if new_session:
+        accepted = report.epoch == self.desk.epoch
+        self._note_sign_of_life(machine, accepted, now)
+        if report.tenure > machine.tenure:
             machine.doubts.clear()  # orders of an earlier session are refused from now on
-            if before is not None and now - before < desk.lease_s / 2 and answered is not None:
+            recently = heard_before is not None and now - heard_before < self.desk.lease_s / 2
+            if recently and answered_before is not None:
                 # We heard it all the time and answered, and still its lease has run out.
                 self.ignored(machine, DEAF, now)
-        elif answered is not None and answered < order and not accepted:
+        elif answered_before is not None and answered_before < order and not accepted:
             self.ignored(machine, 1, now)  # it was answered, but has not taken our epoch
         machine.tenure, machine.tick, machine.epoch = report.tenure, report.tick, report.epoch
         machine.endpoint = report.endpoint
-        if not machine.sick and not desk.pages.holds(machine):
+        self._check_machine(machine, report, now)
+        self._take_tasks(machine, report, accepted, answering, now)
+        return machine
+
+    def _note_answer(self, machine: Machine, report: Report, now: float) -> None:
+        """Our answer to this report renews the machine's lease."""
+        desk, order = self.desk, (report.tenure, report.tick)
+        machine.answered_at = now
+        newest = machine.answered is None or order > machine.answered  # not a late copy
+        if report.epoch == desk.epoch and newest:
+            machine.reported_at = now
+            if machine.mute:
+                machine.mute, desk.changed = False, True
+        machine.answered = max(order, machine.answered or order)
+
+    def _note_sign_of_life(self, machine: Machine, accepted: bool, now: float) -> None:
+        """The machine is there; only with our epoch ``accepted`` does it count as well."""
+        desk = self.desk
+        if machine.heard_at is None:
+            log.info("machine %s: %s in %s is up", machine.host, machine.kind.name, machine.zone)
+            machine.up_at = now
+        machine.heard_at = now
+        if accepted:
+            if machine.fresh_at is None or now - machine.fresh_at > desk.report_s:
+                desk.changed = True
+            machine.fresh_at = now
+
+    def _check_machine(self, machine: Machine, report: Report, now: float) -> None:
+        """Whether the machine can be put on record, and whether the cloud takes it back."""
+        if not machine.sick and not self.desk.pages.holds(machine):
             log.warning("machine %s: its name or address is too long to be put on record", machine.host)
             machine.sick = True
         if report.recall_s is not None and machine.recall_at is None:
             machine.recall_at = now + report.recall_s
             log.info("machine %s: taken back in %.1f s", machine.host, report.recall_s)
-            desk.recalled(machine, now)
+            self.desk.recalled(machine, now)
+
+    def _take_tasks(self, machine: Machine, report: Report, accepted: bool, answering: bool, now: float) -> None:
+        """Compare the tasks that the report lists with the machine's claims."""
+        desk = self.desk
         listed: dict[TaskId, Rung] = {rung.task(): rung for rung in report.rungs}
         machine.seen = {task: (rung.attempt, rung.phase) for task, rung in listed.items()}
         lost = False
@@ -102,7 +122,6 @@
         if machine.deaf_since is not None:
             for claim in [one for one in machine.claims.values() if desk.unsent(one, machine)]:
                 desk.end(claim, False, now)
-        return machine
 
     def ignored(self, machine: Machine, signs: int, now: float) -> None:
         """What we told the machine had no effect. Once may be chance; more often, our words don't reach it, however
@@ -170,50 +189,58 @@
         Without ``may_start`` nothing is launched, though it is on record: another controller may be leader already,
         and the job may be confirmed as cancelled there.
         """
-        desk = self.desk
         result: list[dict[str, Any]] = []
         if machine.deleting and not machine.claims:
             return result
-        resend = RESEND * desk.report_s
         for claim in list(machine.claims.values()):
-            attempt, phase = machine.seen.get(claim.task, (None, ""))
-            on_it = attempt == claim.attempt
             if claim.stopping is not None:
-                if on_it and phase != "exited" and now - claim.stop_at > resend:
-                    again = claim.stop_at > -math.inf
-                    if again and phase != "flushing":
-                        self.ignored(machine, 1, now)
-                    claim.stop_at = now
-                    result.append(self._stop(claim.task, claim.attempt, 0.0 if again else self._wind_down(claim)))
-                elif (
-                    self._lost(machine, claim, attempt)
-                    and tick is not None
-                    and may_start
-                    and now - claim.sent_at > resend
-                ):
-                    # Guards the task against waiting for ever: its launch by /orders was lost, or may still come. An
-                    # answer can't be late: what is launched and stopped by it is listed, so that the claim ends, and
-                    # shields against the late copy.
-                    claim.sent_at = now
-                    result += [self._launch(claim), self._stop(claim.task, claim.attempt, 0.0)]
-                continue
+                result += self._stop_orders(machine, claim, now, tick is not None and may_start)
             # Guards against a start that the next leader could not know of: its write may be late, and we may end.
-            if on_it or not claim.recorded or claim.inherited or not may_start:
-                continue
-            if attempt is not None:
-                if attempt in machine.doubts and claim.sent_tenure is None:
-                    # The old attempt has to stay listed, as it shields against its own late copies.
-                    desk.avoid(claim.job, machine, now)
-                    desk.end(claim, False, now)
-                continue
-            if claim.sent_tenure is None or now - claim.sent_at > resend:
-                claim.sent_tenure, claim.sent_at = machine.tenure, now
-                if tick is None:
-                    machine.doubts[claim.attempt] = machine.doubts.get(claim.attempt, 0) + 1
-                    claim.sent_tick = machine.tick
-                else:
-                    claim.sent_tick = tick
-                result.append(self._launch(claim))
+            elif claim.recorded and not claim.inherited and may_start:
+                result += self._launch_orders(machine, claim, now, tick)
+        result += self._unclaimed_orders(machine)
+        return result
+
+    def _stop_orders(self, machine: Machine, claim: Claim, now: float, may_relaunch: bool) -> list[dict[str, Any]]:
+        """What stops a claim's attempt, if it has to be told now."""
+        attempt, phase = machine.seen.get(claim.task, (None, ""))
+        resend = RESEND * self.desk.report_s
+        if attempt == claim.attempt and phase != "exited" and now - claim.stop_at > resend:
+            again = claim.stop_at > -math.inf
+            if again and phase != "flushing":
+                self.ignored(machine, 1, now)
+            claim.stop_at = now
+            return [self._stop(claim.task, claim.attempt, 0.0 if again else self._wind_down(claim))]
+        if self._lost(machine, claim, attempt) and may_relaunch and now - claim.sent_at > resend:
+            # Guards the task against waiting for ever: its launch by /orders was lost, or may still come. An answer
+            # can't be late: what is launched and stopped by it is listed, so that the claim ends, and shields against
+            # the late copy.
+            claim.sent_at = now
+            return [self._launch(claim), self._stop(claim.task, claim.attempt, 0.0)]
+        return []
+
+    def _launch_orders(self, machine: Machine, claim: Claim, now: float, tick: int | None) -> list[dict[str, Any]]:
+        """What launches a claim's attempt, if it has to be told now."""
+        attempt, _ = machine.seen.get(claim.task, (None, ""))
+        if attempt == claim.attempt:
+            return []
+        if attempt is not None:
+            if attempt in machine.doubts and claim.sent_tenure is None:
+                # The old attempt has to stay listed, as it shields against its own late copies.
+                self.desk.avoid(claim.job, machine, now)
+                self.desk.end(claim, False, now)
+            return []
+        if claim.sent_tenure is not None and now - claim.sent_at <= RESEND * self.desk.report_s:
+            return []
+        claim.sent_tenure, claim.sent_at = machine.tenure, now
+        if tick is None:
+            machine.doubts[claim.attempt] = machine.doubts.get(claim.attempt, 0) + 1
+        claim.sent_tick = machine.tick if tick is None else tick
+        return [self._launch(claim)]
+
+    def _unclaimed_orders(self, machine: Machine) -> list[dict[str, Any]]:
+        """What becomes of listed attempts that have no claim: stopped, or reaped once their end is on record."""
+        result: list[dict[str, Any]] = []
         for task, (attempt, phase) in machine.seen.items():
             current = machine.claims.get(task)
             if current is not None and current.attempt == attempt:
