--- a/ladderfield/http.py
+++ b/ladderfield/http.py
@@ -38,7 +38,7 @@
 
     __slots__ = ("body", "close", "retry_after", "status")
 
-    def __init__(self, status: int, body: Any = None, retry_after: int | None = None, close: bool = False):
+    def __init__(self, status: int, body: Any = None, retry_after: int | None = None, close: bool = False) -> None:
         self.status, self.retry_after, self.close = status, retry_after, close
         self.body = encode({} if body is None else body)
 
--- a/ladderfield/jobs/accept.py
+++ b/ladderfield/jobs/accept.py
@@ -19,7 +19,7 @@
 from ladderfield.jobs.chains import Chains
 from ladderfield.jobs.model import FINAL, FULL, JOB
 from ladderfield.settings import Settings
-from ladderfield.state import Refused, StateClient, Unavailable
+from ladderfield.state import StateClient, StateServiceError, WriteRefusedError
 from ladderfield.view import View
 
 log = logging.getLogger(__name__)
@@ -124,14 +124,14 @@
         value = {"jobs": {wanted.uid: wanted.record for wanted in batch}}
         try:
             outcome = await self.client.commit(guards, {key: value}, [], self.wait_s * ANSWER)
-        except Refused as error:
+        except WriteRefusedError as error:
             # It would be refused again. Less of it may not be; a job that stands alone is the caller's to think over.
             log.error("%d jobs can't be written: %s", len(batch), error)
             self.most_jobs = max(1, len(batch) // 2)
             if len(batch) == 1:
                 self._answer(batch[0], None)
             return
-        except Unavailable as error:
+        except StateServiceError as error:
             log.debug("%d jobs not written yet: %s", len(batch), error)
             if trio.current_time() - self.client.answered_at < self.wait_s * HOPEFUL:
                 await trio.sleep(self.wait_s * PAUSE)
--- a/ladderfield/jobs/cancel.py
+++ b/ladderfield/jobs/cancel.py
@@ -13,7 +13,7 @@
 from ladderfield.jobs.lookup import JobLookup
 from ladderfield.jobs.model import CANCELLED, FINAL, valid_uid
 from ladderfield.jobs.responses import SUBMIT_S, USABLE_SHARE, busy, no_such_job
-from ladderfield.state import Outcome, StateClient, Unavailable
+from ladderfield.state import Outcome, StateClient, StateServiceError
 from ladderfield.view import View
 
 log = logging.getLogger(__name__)
@@ -42,10 +42,8 @@
             if (final := self.lookup.final(uid)) is not None:
                 return final
             if uid not in self.chains:
-                if not await self.view.fresh(until - trio.current_time()):
-                    return busy(1)
-                if self.lookup.state(uid) is None:
-                    return no_such_job()
+                if (unknown := await self._unknown(uid, until)) is not None:
+                    return unknown
                 continue
             if not await self.client.writes.take(patience=TURN_PATIENCE_S):
                 return busy(1)
@@ -63,13 +61,19 @@
                 await self.view.reach(outcome.ledger)
         return busy(1)
 
+    async def _unknown(self, uid: str, until: float) -> Reply | None:
+        """The answer for a job that the view lacks; None if it was accepted meanwhile."""
+        if not await self.view.fresh(until - trio.current_time()):
+            return busy(1)
+        return no_such_job() if self.lookup.state(uid) is None else None
+
     async def _write(self, uid: str) -> Outcome | None:
         """Write the final record, or None without an answer. Decided once: neither this nor a late copy of it undoes
         an end. Once accepted the job is known for good."""
         record = {"phase": CANCELLED, "at": round(time.time(), 3)}
         try:
             return await self.client.commit({FINAL + uid: 0}, {FINAL + uid: record}, [], WRITE_TIMEOUT_S)
-        except Unavailable as error:
+        except StateServiceError as error:
             log.debug("job %s: not cancelled yet: %s", uid, error)
             return None
 
--- a/ladderfield/leader/cloud_tasks.py
+++ b/ladderfield/leader/cloud_tasks.py
@@ -12,7 +12,7 @@
 from ladderfield.leader.messages import DeletionAnswered, MachinesListed, Message, RentalAnswered
 from ladderfield.leadership import EPOCH, Term
 from ladderfield.settings import Settings
-from ladderfield.state import StateClient, Unavailable
+from ladderfield.state import StateClient, StateServiceError
 from ladderfield.view import View
 
 log = logging.getLogger(__name__)
@@ -60,7 +60,7 @@
                     guards = {EPOCH: self.term.stamp, TYPES: self.view.stamp(TYPES)}
                     await self.client.commit(guards, {TYPES: kinds}, [], self.report_s)
                 await trio.sleep(TYPES_EVERY * self.report_s)
-            except (CloudTrouble, Unavailable) as error:
+            except (CloudTrouble, StateServiceError) as error:
                 log.info("machine types: %s", error)
                 await trio.sleep(self.report_s)
 
--- a/ladderfield/leader/writer.py
+++ b/ladderfield/leader/writer.py
@@ -10,7 +10,7 @@
 from ladderfield.leader.messages import Message, TransactionAnswered, WriterReady
 from ladderfield.leadership import EPOCH
 from ladderfield.settings import Settings
-from ladderfield.state import Outcome, Refused, StateClient, Unavailable
+from ladderfield.state import Outcome, StateClient, StateServiceError, WriteRefusedError
 
 log = logging.getLogger(__name__)
 
@@ -57,11 +57,11 @@
                     if key != EPOCH:
                         stamps[key] = await self.client.stamp(key, self.report_s)
                 break
-            except Refused as error:
+            except WriteRefusedError as error:
                 log.error("epoch %d: a write is refused for good: %s", self.epoch, error)
                 await trio.sleep(RETRY * self.report_s)
                 break
-            except Unavailable as error:
+            except StateServiceError as error:
                 log.debug("epoch %d: a write waits: %s", self.epoch, error)
                 await trio.sleep(RETRY * self.report_s)
         return TransactionAnswered(txn, outcome, stamps)
--- a/ladderfield/leadership.py
+++ b/ladderfield/leadership.py
@@ -17,7 +17,7 @@
 from ladderfield.jobs.model import FULL
 from ladderfield.rollout import VOUCHING, level_of
 from ladderfield.settings import Settings
-from ladderfield.state import StateClient, Unavailable
+from ladderfield.state import StateClient, StateServiceError
 from ladderfield.view import View
 from ladderfield.workers.machine import CLOCKS
 from ladderfield.workers.report import EPOCH_MOST
@@ -158,7 +158,7 @@
                             break
                     try:
                         term = await self._campaign()
-                    except Unavailable as error:
+                    except StateServiceError as error:
                         log.debug("campaign: %s", error)
                         term = None
                     if term is not None:
@@ -228,7 +228,7 @@
                     term.renewed_at = sent
                 else:
                     term.end("its lease ended")
-            except Unavailable as error:
+            except StateServiceError as error:
                 log.debug("epoch %d: renewal: %s", term.epoch, error)
                 now = trio.current_time()
                 if now > term.renewed_at + self.ttl and not term.may_answer(now):
--- a/ladderfield/peers.py
+++ b/ladderfield/peers.py
@@ -40,14 +40,14 @@
     return max(8, int(max_connections * BACK_SHARE))
 
 
-class BadFrame(Exception):
+class FrameError(Exception):
     """Not a frame of ours: the connection is closed."""
 
 
 def pack(kind: int, status: int, body: bytes) -> bytes:
     """A frame."""
     if len(body) > BODY_MOST:
-        raise BadFrame(f"{len(body)} bytes are too many")
+        raise FrameError(f"{len(body)} bytes are too many")
     return HEAD.pack(MAGIC, VERSION, kind, status, len(body)) + body
 
 
@@ -55,7 +55,7 @@
     """Kind, status and length of the body to come."""
     magic, version, kind, status, length = HEAD.unpack(head)
     if magic != MAGIC or version != VERSION or not RELAY <= kind <= CANCELLED or length > BODY_MOST:
-        raise BadFrame(f"{head.hex()} is no frame head")
+        raise FrameError(f"{head.hex()} is no frame head")
     return kind, status, length
 
 
@@ -99,7 +99,7 @@
                     status, body = await self.answer(kind, status, body)
                     with trio.fail_after(self.answer_s):
                         await stream.send_all(pack(ANSWER, status, body))
-        except BadFrame as error:
+        except FrameError as error:
             if not self._warned:
                 self._warned = True
                 log.warning("a malformed frame came over back: %s", error)
@@ -137,7 +137,7 @@
                 answer_kind, status, answer = await read(stream)
                 whole = self.reachable = answer_kind == ANSWER
                 return (status, answer) if whole else None
-        except (BadFrame, EOFError, OSError, trio.BrokenResourceError, trio.ClosedResourceError, trio.TooSlowError):
+        except (FrameError, EOFError, OSError, trio.BrokenResourceError, trio.ClosedResourceError, trio.TooSlowError):
             self.reachable = False
             return None
         finally:
--- a/ladderfield/rollout.py
+++ b/ladderfield/rollout.py
@@ -13,7 +13,7 @@
 import trio
 
 from ladderfield.settings import Settings
-from ladderfield.state import StateClient, Unavailable
+from ladderfield.state import StateClient, StateServiceError
 from ladderfield.view import View
 
 log = logging.getLogger(__name__)
@@ -59,6 +59,6 @@
                     outcome = await self.client.commit(guards, {self.key: {"level": LEVEL}}, [], self.pause * 4)
                     with trio.move_on_after(self.pause * 4):
                         await self.view.reach(outcome.ledger)
-                except Unavailable as error:
+                except StateServiceError as error:
                     log.debug("version not told yet: %s", error)
             await trio.sleep(self.pause / 4 if not self.view.synced else self.pause)
--- a/ladderfield/server.py
+++ b/ladderfield/server.py
@@ -21,9 +21,9 @@
 from ladderfield.peers import CANCELLED, HEALTH, RELAY, SELF, VOUCH, BackServer, PeerLink, back_most
 from ladderfield.rollout import Rollout
 from ladderfield.settings import Settings, address
-from ladderfield.state import StateClient, Unavailable
+from ladderfield.state import StateClient, StateServiceError
 from ladderfield.view import View
-from ladderfield.vouching import Strange, Vouching, parse_uids
+from ladderfield.vouching import VouchError, Vouching, parse_uids
 from ladderfield.workers.report_handler import ReportHandler
 
 log = logging.getLogger(__name__)
@@ -74,7 +74,7 @@
         if kind == CANCELLED:
             try:
                 self.reports.tell_leader(CancellationsLearned(parse_uids(body)))
-            except Strange:
+            except VouchError:
                 return 400, b""
             return 200, b""
         return 400, b""
@@ -128,7 +128,7 @@
                     if parse_types(kinds):
                         await self.client.writes.take()
                         await self.client.commit({TYPES: 0}, {TYPES: kinds}, [], pause)
-                except (CloudTrouble, Unavailable) as error:
+                except (CloudTrouble, StateServiceError) as error:
                     log.info("machine types: %s", error)
             await trio.sleep(pause / 4 if self.view.get(TYPES) is None else pause)
 
--- a/ladderfield/state.py
+++ b/ladderfield/state.py
@@ -49,11 +49,11 @@
     events: list[Event]
 
 
-class Unavailable(Exception):
+class StateServiceError(Exception):
     """The state service did not carry the request out, or did not say that it has."""
 
 
-class Refused(Unavailable):
+class WriteRefusedError(StateServiceError):
     """The state service will never take this as it is: it is surely not carried out, and a repeat is useless."""
 
 
@@ -93,11 +93,11 @@
             answer = decode_object(data) if data else {}
         except NoAnswer as error:
             await client.drop()
-            raise Unavailable(str(error)) from None
+            raise StateServiceError(str(error)) from None
         if status == 429:
             self.calls.drain()
         if status >= 500 or status == 429:
-            raise Unavailable(f"{method} {target}: {status}")
+            raise StateServiceError(f"{method} {target}: {status}")
         self.answered_at = trio.current_time()
         return status, answer
 
@@ -106,7 +106,7 @@
         status, answer = await self._call("GET", f"/keys?starts={UNUSED_PREFIX}&limit=1", None, timeout)
         ledger = answer.get("ledger")
         if status != 200 or not isinstance(ledger, int):
-            raise Unavailable(f"no ledger: {status}")
+            raise StateServiceError(f"no ledger: {status}")
         return ledger
 
     async def page(self, after: str, timeout: float) -> Page:
@@ -120,7 +120,7 @@
         status, answer = await self._call("GET", f"/keys/{key}", None, timeout)
         stamp = 0 if status == 404 else answer.get("stamp")
         if not isinstance(stamp, int):
-            raise Unavailable(f"no stamp: {status}")
+            raise StateServiceError(f"no stamp: {status}")
         return stamp
 
     async def commit(
@@ -141,15 +141,15 @@
         if status == 409 and isinstance(failed, list) and isinstance(ledger, int):
             return Outcome(ledger, [str(key) for key in failed])
         if status == 400:
-            raise Refused(f"commit: {answer}")
-        raise Unavailable(f"commit: {status} {answer}")
+            raise WriteRefusedError(f"commit: {answer}")
+        raise StateServiceError(f"commit: {status} {answer}")
 
     async def grant(self, ttl_s: float, timeout: float) -> int:
         """A new lease."""
         status, answer = await self._call("POST", "/grants", {"ttlMs": round(ttl_s * 1000)}, timeout)
         hold = answer.get("hold")
         if status != 200 or not isinstance(hold, int):
-            raise Unavailable(f"no lease: {status}")
+            raise StateServiceError(f"no lease: {status}")
         return hold
 
     async def touch(self, hold: int, timeout: float) -> bool:
@@ -185,8 +185,8 @@
 def _checked(status: int, answer: dict[str, Any], kind: type[Answer]) -> Answer:
     """The answer as what it should be; a strange one counts as none."""
     if status != 200:
-        raise Unavailable(f"{kind.__name__}: {status}")
+        raise StateServiceError(f"{kind.__name__}: {status}")
     try:
         return msgspec.convert(answer, kind)
     except msgspec.ValidationError as error:
-        raise Unavailable(f"{kind.__name__}: {error}") from None
+        raise StateServiceError(f"{kind.__name__}: {error}") from None
--- a/ladderfield/test_documentation.py
+++ b/ladderfield/test_documentation.py
@@ -36,22 +36,28 @@
             self.names.add(f"{self._classes[-1]}.{name}")
 
     def visit_ClassDef(self, node: ast.ClassDef) -> None:
+        """A class and its members."""
         self.add(node.name)
         self._classes.append(node.name)
         self.generic_visit(node)
         self._classes.pop()
 
     def visit_FunctionDef(self, node: ast.FunctionDef | ast.AsyncFunctionDef) -> None:
+        """A function or method."""
         self.add(node.name)
         self.generic_visit(node)
 
-    visit_AsyncFunctionDef = visit_FunctionDef
+    def visit_AsyncFunctionDef(self, node: ast.AsyncFunctionDef) -> None:
+        """The same of a coroutine."""
+        self.visit_FunctionDef(node)
 
     def visit_Name(self, node: ast.Name) -> None:
+        """An assigned name."""
         if isinstance(node.ctx, ast.Store):
             self.add(node.id)
 
     def visit_Attribute(self, node: ast.Attribute) -> None:
+        """An assigned attribute."""
         if isinstance(node.ctx, ast.Store):
             self.add(node.attr)
         self.generic_visit(node)
--- a/ladderfield/test_edges.py
+++ b/ladderfield/test_edges.py
@@ -13,7 +13,7 @@
 from ladderfield.budget import Budget
 from ladderfield.cli import main
 from ladderfield.http import Reply, Request, Server
-from ladderfield.peers import HEAD, MAGIC, RELAY, BackServer, BadFrame, pack, unpack_head
+from ladderfield.peers import HEAD, MAGIC, RELAY, BackServer, FrameError, pack, unpack_head
 from ladderfield.settings import load
 from ladderfield.testing import SETTINGS
 
@@ -85,11 +85,11 @@
     frame = pack(RELAY, 1, b"body")
     assert unpack_head(frame[: HEAD.size]) == (RELAY, 1, 4)
     for bad in (HEAD.pack(b"xx", 1, RELAY, 0, 0), HEAD.pack(MAGIC, 9, RELAY, 0, 0), HEAD.pack(MAGIC, 1, 77, 0, 0)):
-        with pytest.raises(BadFrame):
+        with pytest.raises(FrameError):
             unpack_head(bad)
-    with pytest.raises(BadFrame):
+    with pytest.raises(FrameError):
         unpack_head(HEAD.pack(MAGIC, 1, RELAY, 0, 1 << 30))
-    with pytest.raises(BadFrame):
+    with pytest.raises(FrameError):
         pack(RELAY, 0, b"x" * (1 << 17))
 
 
--- a/ladderfield/test_grace.py
+++ b/ladderfield/test_grace.py
@@ -16,7 +16,7 @@
 from ladderfield.rollout import VERSION, VOUCHING
 from ladderfield.testing import SETTINGS, settings
 from ladderfield.testing.cluster import Cluster, cluster, refuse, silent_peer
-from ladderfield.vouching import ANSWER, QUESTION, Answer, Strange, known_until
+from ladderfield.vouching import ANSWER, QUESTION, Answer, VouchError, known_until
 
 CANCEL_S = SETTINGS["cluster"]["workers"]["cancel_s"]
 LEASE_S = SETTINGS["cluster"]["workers"]["lease_s"]
@@ -230,7 +230,7 @@
      ANSWER.pack(1, 1.0, 1.0) + b"\xff\xfe"],
 )  # fmt: skip
 def test_a_strange_answer_vouches_for_nothing(body: bytes) -> None:
-    with pytest.raises(Strange):
+    with pytest.raises(VouchError):
         Answer(body, 50.0, 51.0)
 
 
--- a/ladderfield/test_versions.py
+++ b/ladderfield/test_versions.py
@@ -92,7 +92,7 @@
 # -- what the version in production takes -----------------------------------------------------------------------
 
 
-class OldSpec(msgspec.Struct):
+class OldSpec(msgspec.Struct, rename="camel"):
     """Fields that it needs, and those that may be absent; others it ignores."""
 
     uid: str
@@ -103,18 +103,18 @@
     rungs: Annotated[int, msgspec.Meta(ge=1, le=100_000)]
     cores: float
     cards: float
-    memoryGb: float
+    memory_gb: float
     bundle: str
-    sizeGb: float
-    oneZone: bool
+    size_gb: float
+    one_zone: bool
     spread: bool
     loaners: bool
-    expectS: float
-    markEveryS: float
-    markCostS: float
+    expect_s: float
+    mark_every_s: float
+    mark_cost_s: float
     flavours: list[str] | None = None
     yard: str | None = None
-    dueS: float | None = None
+    due_s: float | None = None
 
 
 class OldJob(msgspec.Struct, forbid_unknown_fields=True):
@@ -232,7 +232,9 @@
     """Why the jobs API asks the roll-out: to the old version such a record is a job like any other."""
     spec = msgspec.convert(job("req-000002", waitsOn=["req-000001"]), JobSpec)
     written = msgspec.to_builtins(spec)
-    assert written["waitsOn"] == ["req-000001"] and not hasattr(msgspec.convert(written, OldSpec), "waitsOn")
+    assert written["waitsOn"] == ["req-000001"] and "waitsOn" not in msgspec.to_builtins(
+        msgspec.convert(written, OldSpec)
+    )
     assert "dueS" not in written, "absent and null are the same to both, and the smaller records need the room"
 
 
--- a/ladderfield/view.py
+++ b/ladderfield/view.py
@@ -15,7 +15,7 @@
 import trio
 
 from ladderfield.settings import Settings
-from ladderfield.state import StateClient, Unavailable, Watched
+from ladderfield.state import StateClient, StateServiceError, Watched
 
 log = logging.getLogger(__name__)
 
@@ -96,7 +96,7 @@
                 told = False
                 while await self._follow():
                     pass
-            except Unavailable as error:
+            except StateServiceError as error:
                 log.log(logging.DEBUG if told else logging.INFO, "the view waits: %s", error)
                 told = True
                 await trio.sleep(self._patience / 4)
@@ -126,7 +126,7 @@
             with trio.CancelScope() as scope:
                 self._restart, self._watch_at = scope, trio.current_time()
                 answer = await self.client.watch(self.ledger, self._patience * 10)
-        except Unavailable as error:
+        except StateServiceError as error:
             log.debug("watch: %s", error)
             await trio.sleep(self._patience / 4)
             return True
@@ -222,6 +222,6 @@
             read.started, read.sent_at = True, trio.current_time()
             try:
                 read.ledger = await self.client.ledger(self._patience)
-            except Unavailable as error:
+            except StateServiceError as error:
                 log.debug("no fresh view: %s", error)
             read.answered.set()
--- a/ladderfield/vouching.py
+++ b/ladderfield/vouching.py
@@ -40,7 +40,7 @@
 NOTICES = 64  # confirmed at once; what is more the leader sees on record, or asks for
 
 
-class Strange(ValueError):
+class VouchError(ValueError):
     """Not what another controller says."""
 
 
@@ -49,20 +49,20 @@
 
     def __init__(self, body: bytes, asked_at: float, now: float) -> None:
         if len(body) < ANSWER.size:
-            raise Strange(f"{len(body)} bytes are no answer")
+            raise VouchError(f"{len(body)} bytes are no answer")
         self.epoch, lived_s, proven_s = ANSWER.unpack_from(body)
         if not (lived_s >= 0 and proven_s >= 0 and math.isfinite(lived_s)):
-            raise Strange("an age is no time")
+            raise VouchError("an age is no time")
         self.began_at = now - lived_s / CLOCKS  # at the latest
         self.proven_at = asked_at - proven_s * CLOCKS  # at the earliest
         self.uids = parse_uids(body[ANSWER.size :])
 
 
 def parse_uids(body: bytes) -> list[str]:
-    """The jobs named, or Strange."""
+    """The jobs named, or VouchError."""
     uids = body.decode("ascii", errors="replace").split()
     if not all(valid_uid(uid) for uid in uids):
-        raise Strange("not the ids of jobs")
+        raise VouchError("not the ids of jobs")
     return uids
 
 
@@ -115,7 +115,7 @@
             if reply is not None and reply[0] == 200:
                 try:
                     answers[member] = Answer(reply[1], asked_at, trio.current_time())
-                except Strange as error:
+                except VouchError as error:
                     self._warn(member, error)
 
         async with trio.open_nursery() as nursery:
@@ -125,7 +125,7 @@
         uids.update(uid for answer in answers.values() if answer is not None for uid in answer.uids)
         return sorted(uids), known_until(term, asked_at, answers.values())
 
-    def _warn(self, member: str, error: Strange) -> None:
+    def _warn(self, member: str, error: VouchError) -> None:
         if not self._warned:
             self._warned = True
             log.warning("%s: a malformed answer over back: %s", member, error)
