--- a/ladderfield/jobs/api.py
+++ b/ladderfield/jobs/api.py
@@ -73,8 +73,9 @@
         return busy(1) if self._alone() else Reply(200, {})
 
     def _alone(self) -> bool:
-        """Whether users should go elsewhere: the state service turns us away while it serves another controller, or
-        we reach neither it nor any other.
+        """Whether users should go elsewhere.
+
+        The state service turns us away while it serves another controller, or we reach neither it nor any other.
 
         In an outage for all, staying ready costs nothing, whereas each removal makes the load balancer pause longer
         before it comes back. A controller that has just started and has no view yet is in the same place.
--- a/ladderfield/jobs/cancel.py
+++ b/ladderfield/jobs/cancel.py
@@ -68,8 +68,10 @@
         return no_such_job() if self.lookup.state(uid) is None else None
 
     async def _write(self, uid: str) -> Outcome | None:
-        """Write the final record, or None without an answer. Decided once: neither this nor a late copy of it undoes
-        an end. Once accepted the job is known for good."""
+        """Write the final record; None without an answer.
+
+        Decided once: neither this nor a late copy of it undoes an end. Once accepted the job is known for good.
+        """
         record = {"phase": CANCELLED, "at": round(time.time(), 3)}
         try:
             return await self.client.commit({FINAL + uid: 0}, {FINAL + uid: record}, [], WRITE_TIMEOUT_S)
--- a/ladderfield/jobs/test_chains.py
+++ b/ladderfield/jobs/test_chains.py
@@ -20,6 +20,7 @@
         self.chains = Chains(self.data.get)
 
     def put(self, key: str, value: Any) -> None:
+        """A key changes, or (None) goes."""
         if value is None:
             self.data.pop(key, None)
         else:
@@ -27,9 +28,11 @@
         self.chains.take(Change(key, value, 1))
 
     def accept(self, uid: str, *needs: str, **changes: Any) -> None:
+        """A job that waits for others is accepted."""
         self.put(f"lf/j/{uid}", accepted(job(uid, waitsOn=list(needs), **changes), at=1000.0))
 
     def end(self, uid: str, phase: str = "done") -> None:
+        """A job ends."""
         self.put(f"lf/f/{uid}", {"phase": phase, "at": 1100.0})
 
 
--- a/ladderfield/jobs/test_consistency.py
+++ b/ladderfield/jobs/test_consistency.py
@@ -171,8 +171,10 @@
 async def test_a_job_called_cancelled_with_one_that_it_needs_is_not_accepted_anew(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It stands on a record that is named after another job and has no final record of its own yet: neither keeps a
-    controller that knows nothing of all this from writing it once more."""
+    """Its record is named after another job and it has no final record of its own yet.
+
+    Neither keeps a controller that knows nothing of all this from writing it once more.
+    """
     async with cluster(monkeypatch) as whole:
         checker, first, later, beside = ConsistencyChecker(whole), "req-000001", "req-000002", "req-000003"
         await whole.submit(uid=first, shape="array", rungs=1)
@@ -225,7 +227,7 @@
             await trio.sleep(0.1)
 
         watch = one.client.watch
-        one.client.page, one.client.watch = overtaken, behind  # type: ignore[method-assign, assignment]
+        one.client.page, one.client.watch = overtaken, behind  # type: ignore[method-assign]
         whole.state.page_most = 3
         await _restart_watch(whole, 1)
         await _put(whole, {"lf/f/req-19": {"phase": "done"}})
--- a/ladderfield/leader/failure_detector.py
+++ b/ladderfield/leader/failure_detector.py
@@ -49,9 +49,11 @@
             self.others_until = now
 
     def look(self, now: float) -> None:
-        """See which zones are cut off: at least half of the machines, and more than one, are silent, or have lately
-        begun to come by way of another controller. Then those that are silent are likely on such a way, or would be if
-        there were one."""
+        """See which zones are cut off.
+
+        At least half of the machines there, and more than one, are silent, or have lately begun to come by way of
+        another controller. Then those that are silent are likely on such a way, or would be if there were one.
+        """
         desk, known, mute = self.desk, dict[str, list[int]](), 0
         for machine in desk.machines.values():
             # Guards work against machines that can't reach any controller while our commands reach them: their lease
@@ -94,8 +96,10 @@
         return patience
 
     def away(self, machine: Machine, now: float) -> bool:
-        """Whether it has been silent for longer than a lease in a zone that is cut off: it may come back, but nothing
-        of it can be counted on."""
+        """Whether it has been silent for longer than a lease in a zone that is cut off.
+
+        It may come back, but nothing of it can be counted on.
+        """
         silent = machine.silent_for(now, self.desk.term_from)
         return machine.zone in self.cut and silent > self.desk.lease_s * CLOCKS
 
@@ -108,9 +112,11 @@
         )
 
     def lets_go(self, host: str, now: float, patience: float) -> bool:
-        """Whether the machine's lease is to end, as it still holds a task whose cancellation was confirmed so long ago
-        that one more answer would keep it beyond cancel_s. Guards ``ran_cancelled`` where it can't be deleted: the
-        cloud is down, or the right to delete is gone."""
+        """Whether the machine's lease is to end because of a cancelled task.
+
+        Its cancellation was confirmed so long ago that one more answer would keep it beyond cancel_s. Guards
+        ``ran_cancelled`` where the machine can't be deleted: the cloud is down, or the right to delete is gone.
+        """
         machine = self.desk.machines.get(host)
         if machine is None or not self.desk.cancelled_at:
             return False
--- a/ladderfield/leader/ledger.py
+++ b/ladderfield/leader/ledger.py
@@ -131,9 +131,12 @@
             self._write(txn, page)
 
     def _move(self, txn: Txn) -> None:
-        """Repeat on a small page what is left of one that is too large to be written: there it would stay for as long
-        as anything of it lives, and be read back by every successor. What goes on for long moves first; the rest ends
-        by itself meanwhile. The large page is written, or read as what it is, only after this stands."""
+        """Repeat on a small page what is left of one that is too large to be written.
+
+        There it would stay for as long as anything of it lives, and be read back by every successor. What goes on for
+        long moves first; the rest ends by itself meanwhile. The large page is written, or read as what it is, only
+        after this stands.
+        """
         pages = self.desk.pages
         large = pages.large()
         if large is None or txn.size + pages.most > BYTES:
@@ -195,8 +198,10 @@
             desk.spent.pop(record, None)
 
     def restamp(self, txn: Txn, stamps: dict[str, int]) -> None:
-        """Guards failed because an earlier copy of a transaction was applied after all: take the versions on record
-        and write again, with what is known now."""
+        """Take the versions on record and write again, with what is known now.
+
+        Guards failed because an earlier copy of the transaction was applied after all.
+        """
         for page in txn.pages:
             page.stamp = stamps.get(page.key, page.stamp)
             self.desk.pages.owing.add(page)
@@ -212,8 +217,10 @@
                 self.desk.spent.pop(record, None)
 
     def refused(self, txn: Txn) -> None:
-        """The state service will never take it, so its limits must be smaller than we were told. Nothing of it is on
-        record: it is put together anew, and smaller."""
+        """Put together anew, and smaller, what the state service will never take.
+
+        Its limits must be smaller than we were told. Nothing of the transaction is on record.
+        """
         desk, pages = self.desk, self.desk.pages
         self.most = max(1, self.most // 2)
         pages.most = max(LEAST_BYTES, pages.most // 2)
--- a/ladderfield/leader/messages.py
+++ b/ladderfield/leader/messages.py
@@ -55,8 +55,10 @@
 
 
 class TransactionAnswered(msgspec.Struct, frozen=True, eq=False):
-    """Our transaction was answered; ``stamps`` has what is on record where guards failed. No outcome: it was refused
-    for good."""
+    """Our transaction was answered.
+
+    ``stamps`` has what is on record where guards failed. No outcome: it was refused for good.
+    """
 
     txn: Txn
     outcome: Outcome | None
--- a/ladderfield/leader/pages.py
+++ b/ladderfield/leader/pages.py
@@ -111,9 +111,12 @@
             self.size -= 0 if job in self.jobs else job_bytes(job)
 
     def value(self) -> dict[str, Any]:
-        """The record: of each job its finished ranges (d) and claims (a: task -> attempt, machine), and of each of
-        these machines zone, address, type and kind: a new leader must be able to speak to them while the cloud, which
-        could tell, is down."""
+        """The record of all that is on the page.
+
+        Of each job its finished ranges (d) and claims (a: task -> attempt, machine), and of each of these machines
+        zone, address, type and kind: a new leader must be able to speak to them while the cloud, which could tell, is
+        down.
+        """
         value: dict[str, Any] = {}
         for job, tasks in self.done.items():
             value.setdefault(job.uid, {})["d"] = ranges(tasks)
@@ -171,8 +174,10 @@
         return min((page for page in self.pages if page.size > self.most), key=lambda page: page.size, default=None)
 
     def ended(self, claim: Claim, done: bool) -> None:
-        """A claim no longer binds. Once the task's end is on record, its old claim says nothing; until then the page
-        should be rewritten some time."""
+        """A claim no longer binds.
+
+        Once the task's end is on record, its old claim says nothing; until then the page should be rewritten some time.
+        """
         page = claim.page
         if page is not None:
             page.drop_claim(claim)
--- a/ladderfield/leader/sessions.py
+++ b/ladderfield/leader/sessions.py
@@ -124,9 +124,11 @@
                 desk.end(claim, False, now)
 
     def ignored(self, machine: Machine, signs: int, now: float) -> None:
-        """What we told the machine had no effect. Once may be chance; more often, our words don't reach it, however
-        well its reports reach us. It gets no work then, what can be ended there ends, and it is replaced unless it
-        hears again."""
+        """What we told the machine had no effect.
+
+        Once may be chance; more often, our words don't reach it, however well its reports reach us. It gets no work
+        then, what can be ended there ends, and it is replaced unless it hears again.
+        """
         machine.unheeded += signs
         if machine.unheeded >= DEAF and machine.deaf_since is None:
             machine.deaf_since = now
@@ -135,8 +137,11 @@
             self.desk.changed = True
 
     def _gone(self, machine: Machine, claim: Claim, report: Report, answering: bool) -> bool:
-        """Whether a claim that the machine doesn't list is surely dead. The machine has accepted our epoch, so no
-        earlier leader's order can run any more; what is left are our own orders."""
+        """Whether a claim that the machine doesn't list is surely dead.
+
+        The machine has accepted our epoch, so no earlier leader's order can run any more; what is left are our own
+        orders.
+        """
         if claim.sent_tenure is None:
             if claim.inherited:
                 return True
--- a/ladderfield/leader/test_desk.py
+++ b/ladderfield/leader/test_desk.py
@@ -78,6 +78,7 @@
             self.ledger.applied(txn, self.stamp, now)
 
     def machine(self, host: str = "m") -> Machine:
+        """The machine's entry in the desk's tables."""
         return self.desk.machines[host]
 
 
@@ -95,7 +96,7 @@
     stage.record()
     orders = stage.report()
     assert [order["verb"] for order in orders] == ["launch"] * tasks
-    return orders[0]["try"]
+    return int(orders[0]["try"])
 
 
 def test_no_launch_before_the_claim_is_on_record() -> None:
--- a/ladderfield/leader/test_limits.py
+++ b/ladderfield/leader/test_limits.py
@@ -119,8 +119,10 @@
 
 
 def test_no_page_is_left_unwritten_because_what_went_along_with_its_claims_filled_it() -> None:
-    """cascade-heatshare-next rollout: ends of tasks filled a page to two bytes over its size, it was not written, and
-    the claims on it waited for 112 s to be launched."""
+    """cascade-heatshare-next rollout: claims waited for 112 s to be launched.
+
+    Ends of tasks filled their page to two bytes over its size, and it was not written.
+    """
     for longer in range(12):  # one of these leaves just as much room as it takes
         stage = limited()
         stage.submit("req-000001", owner="blue", rungs=700, cores=2.0)
@@ -158,8 +160,11 @@
 
 
 def test_nothing_that_moves_is_lost_however_full_the_page_it_moves_to() -> None:
-    """days/roll-in-trouble-daftar: `ran_twice`. What had moved filled its page to two bytes over its size, so that page
-    was not written, and the next leader found the claims nowhere once the large page had been written without them."""
+    """days/roll-in-trouble-daftar: `ran_twice`.
+
+    What had moved filled its page to two bytes over its size, so that page was not written, and the next leader found
+    the claims nowhere once the large page had been written without them.
+    """
     for longer in range(14):
         hosts = {f"i-0{n:05}" + "x" * longer: ["za", f"10.1.0.{n}:9000", "m4", False] for n in range(8)}
         claims = {str(100 + n): [OLD + n, host] for n, host in enumerate(hosts)}
--- a/ladderfield/leader/test_placement.py
+++ b/ladderfield/leader/test_placement.py
@@ -15,8 +15,10 @@
 
 
 def left(*jobs: tuple[dict[str, Any], str], cancelled: bool = False) -> Stage:
-    """What an earlier leader left: of each job so many first tasks claimed, each on a machine of its own, whose zone
-    the text names (``a`` is za)."""
+    """What an earlier leader left.
+
+    Of each job so many first tasks are claimed, each on a machine of its own, whose zone the text names (``a`` is za).
+    """
     data: dict[str, Any] = {}
     for number, (changes, zones) in enumerate(jobs):
         uid = f"req-{number + 1:06}"
--- a/ladderfield/leader/test_size.py
+++ b/ladderfield/leader/test_size.py
@@ -112,8 +112,10 @@
 
 
 def test_what_runs_on_for_long_does_not_use_up_the_room_that_goes_by_age() -> None:
-    """days/lasting-overload-cascade: old jobs that ran in their turn held a quarter of the cpus, and large jobs began
-    after seven minutes."""
+    """days/lasting-overload-cascade: large jobs began after seven minutes.
+
+    Old jobs that ran in their turn held a quarter of the cpus.
+    """
     stage = Stage()
     for host in range(10):
         stage.report(f"m{host}")
--- a/ladderfield/test_cancelled.py
+++ b/ladderfield/test_cancelled.py
@@ -1,5 +1,7 @@
-"""Cancellations that meet another trouble: nothing of the job starts after its user was told, and all of it is gone
-within cancel_s of that."""
+"""Cancellations that meet another trouble.
+
+Nothing of the job starts after its user was told, and all of it is gone within cancel_s of that.
+"""
 
 from __future__ import annotations
 
@@ -95,8 +97,11 @@
 
 
 async def test_cancelled_through_the_next_leader_while_one_keeps_its_workers(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A leader that lost the state service and the other controllers goes on answering workers that hear nobody else,
-    and the cloud is down, so that only the end of its grace period, and then of their leases, stops the tasks."""
+    """A leader without the state service and the other controllers goes on answering its workers.
+
+    They hear nobody else, and the cloud is down, so that only the end of its grace period, and then of their leases,
+    stops the tasks.
+    """
     async with cluster(monkeypatch) as whole:
         uid = await whole.submit(shape="daemon", rungs=4)
         await whole.busy(uid)
--- a/ladderfield/test_documentation.py
+++ b/ladderfield/test_documentation.py
@@ -22,8 +22,10 @@
 
 
 class Definitions(ast.NodeVisitor):
-    """All that a source file defines: functions, classes, their members and their attributes, by plain name and as
-    ``Class.member``."""
+    """All that a source file defines, by plain name and as ``Class.member``.
+
+    These are functions, classes, their members and their attributes.
+    """
 
     def __init__(self) -> None:
         self.names: set[str] = set()
--- a/ladderfield/test_grace.py
+++ b/ladderfield/test_grace.py
@@ -1,5 +1,8 @@
-"""How long a leader without the state service keeps tasks alive: never so long that a cancellation which another
-controller confirmed, and which it can't see, is carried out later than cancel_s after its user was told."""
+"""How long a leader without the state service keeps tasks alive.
+
+Never so long that a cancellation which another controller confirmed, and which it can't see, is carried out later than
+cancel_s after its user was told.
+"""
 
 from __future__ import annotations
 
@@ -55,8 +58,10 @@
 
 @pytest.mark.parametrize("peers", ["none of them can be asked", "one of them is down", "all are up"])
 async def test_the_gap(monkeypatch: pytest.MonkeyPatch, peers: str) -> None:
-    """The state service refuses the leader alone, another controller confirms a cancellation, then the state service
-    is down for all, for longer than cancel_s, while the workers report to the old leader."""
+    """A cancellation is confirmed while the state service refuses the leader alone.
+
+    Then the state service is down for all, for longer than cancel_s, while the workers report to the old leader.
+    """
     async with cluster(monkeypatch) as whole:
         doomed, steady = await replicas(whole)
         first = whole.leader()
--- a/ladderfield/test_versions.py
+++ b/ladderfield/test_versions.py
@@ -1,5 +1,8 @@
-"""Old and new version side by side: fixed examples of what the version in production writes, read by this one; and what
-this one writes, read by a strict description of what the version in production takes."""
+"""Old and new version side by side.
+
+Fixed examples of what the version in production writes are read by this one; and what this one writes is read by a
+strict description of what the version in production takes.
+"""
 
 from __future__ import annotations
 
@@ -118,27 +121,37 @@
 
 
 class OldJob(msgspec.Struct, forbid_unknown_fields=True):
+    """An accepted job on a record."""
+
     spec: OldSpec
     at: float
     block: Annotated[int, msgspec.Meta(ge=1)]
 
 
 class OldJobs(msgspec.Struct, forbid_unknown_fields=True):
+    """A record of accepted jobs."""
+
     jobs: dict[str, OldJob]
 
 
 class OldEntry(msgspec.Struct, forbid_unknown_fields=True):
+    """A job on a page: its finished ranges and its claims."""
+
     d: list[tuple[int, int]] = []
     a: dict[str, tuple[int, str]] = {}
 
 
 class OldFinal(msgspec.Struct):
+    """A job's final state."""
+
     phase: Literal["done", "cancelled"]
     done: int = 0
     at: float = 0.0
 
 
 class OldEpoch(msgspec.Struct):
+    """The record of the epoch."""
+
     epoch: int
     member: str
     before: dict[str, float]
--- a/ladderfield/testing/cluster.py
+++ b/ladderfield/testing/cluster.py
@@ -1,5 +1,8 @@
-"""A whole cluster for the tests: three controllers, scripted state service, cloud and workers, with levers for what
-goes wrong. Two rules are looked at all the time: no task on two machines, no team over its limit."""
+"""A whole cluster for the tests, with levers for what goes wrong.
+
+Three controllers, scripted state service, cloud and workers. Two rules are looked at all the time: no task on two
+machines, no team over its limit.
+"""
 
 from __future__ import annotations
 
@@ -87,12 +90,12 @@
         self.jobs[spec["uid"]] = spec
         status, _ = await self.call(node, "POST", "/api/jobs", spec)
         assert status == 201
-        return spec["uid"]
+        return str(spec["uid"])
 
     async def phase(self, node: int, uid: str) -> str:
         """What a poll says."""
         status, answer = await self.call(node, "GET", f"/api/jobs/{uid}")
-        return answer["phase"] if status == 200 else str(status)
+        return str(answer["phase"] if status == 200 else status)
 
     async def until(self, node: int, uid: str, phase: str, within: float) -> float:
         """Poll until a phase shows; how long it took."""
--- a/ladderfield/view.py
+++ b/ladderfield/view.py
@@ -183,8 +183,11 @@
                 self._restart.cancel()
 
     def _holds(self, ledger: int) -> bool:
-        """Whether the view is that of one moment, not before a revision. Between two pages that were read a job may
-        have ended and been cleared away: the first lacks its end, the second its record, and it would seem unknown."""
+        """Whether the view is that of one moment, not before a revision.
+
+        Between two pages that were read a job may have ended and been cleared away: the first lacks its end, the second
+        its record, and it would seem unknown.
+        """
         return self.ledger >= max(ledger, self._whole_at)
 
     def _watched_for(self) -> float:
--- a/ladderfield/workers/report_handler.py
+++ b/ladderfield/workers/report_handler.py
@@ -71,8 +71,10 @@
         return reply
 
     def _copy(self, report: Report) -> bool:
-        """Whether the report is no newer than one that came here before: a late copy, which tells nothing about whom
-        the worker can reach now."""
+        """Whether the report is no newer than one that came here before.
+
+        A late copy tells nothing about whom the worker can reach now.
+        """
         order = (report.tenure, report.tick)
         if order <= self._newest.get(report.host, (-1, -1)):
             return True
@@ -80,8 +82,9 @@
         return False
 
     def _cut_off(self, report: Report, link: PeerLink, now: float) -> float | None:
-        """Whether the worker likely can't reach the leader, so that its report is relayed: None if not, else for how
-        long its next ones are to be relayed too if this one gets there.
+        """Whether the worker likely can't reach the leader, so that its report is relayed.
+
+        The answer is None if not, else for how long its next ones are to be relayed too if this one gets there.
 
         It came back after it was sent there; or we can't reach the leader ourselves; or it has taken the leader's
         epoch already, so it was there and left. The last is only a guess, but to send it there at once would cost it
