--- a/ladderfield/jobs/api.py
+++ b/ladderfield/jobs/api.py
@@ -48,7 +48,7 @@
         self.lookup = JobLookup(view, chains)
         self.submissions = SubmissionHandler(settings, client, view, chains, rollout, self.lookup)
         self.cancellations = CancellationHandler(client, view, chains, self.lookup, cancellations)
-        # Each stage is small and tells those it can't take at once.
+        # Requests over this number are told at once to come back.
         self.most_requests = max(REQUESTS_LEAST, int(settings.cluster.quota.max_connections * REQUESTS_SHARE))
         self.requests = 0
 
--- a/ladderfield/jobs/test_jobs.py
+++ b/ladderfield/jobs/test_jobs.py
@@ -10,14 +10,10 @@
 
 from ladderfield.http import Client, Request
 from ladderfield.jobs.api import JobsApi
-from ladderfield.jobs.cancellations import Cancellations
-from ladderfield.jobs.chains import Chains
 from ladderfield.jobs.model import JobSpec, Malformed, impossible, parse, parse_types
-from ladderfield.rollout import Rollout
 from ladderfield.settings import Team
-from ladderfield.state import StateClient
-from ladderfield.testing import TYPES, Network, StateService, job, settings
-from ladderfield.view import View
+from ladderfield.testing import TYPES, job
+from ladderfield.testing.jobs_api import serving_jobs_api
 
 KINDS = parse_types(TYPES)
 TEAMS = {"red": Team("red", cpus_max=16.0), "blue": Team("blue")}
@@ -73,23 +69,6 @@
     assert (why is None) if reason is None else (why is not None and reason in why)
 
 
-async def serving_jobs_api(monkeypatch: pytest.MonkeyPatch, nursery: trio.Nursery) -> tuple[JobsApi, StateService]:
-    net, service = Network(nursery), StateService()
-    net.http("10.2.0.1:23", service)
-    monkeypatch.setattr("ladderfield.http.connect", net.connect)
-    service.keys["lf/types"] = (TYPES, 1, None)
-    client = StateClient(settings())
-    view = View(client, settings())
-    nursery.start_soon(view.run)
-    nursery.start_soon(view.run_reads)
-    chains, rollout = Chains(view.get), Rollout(settings(), client, view)
-    view.followers.append(chains.take)
-    api = JobsApi(settings(), client, view, chains, rollout, Cancellations())
-    nursery.start_soon(api.submissions.acceptor.run)
-    await trio.sleep(0.1)
-    return api, service
-
-
 async def test_overload_is_answered_at_once_with_a_time_to_come_back(monkeypatch: pytest.MonkeyPatch) -> None:
     async with trio.open_nursery() as nursery:
         api, _ = await serving_jobs_api(monkeypatch, nursery)
--- a/ladderfield/jobs/test_needs.py
+++ b/ladderfield/jobs/test_needs.py
@@ -12,8 +12,8 @@
 from ladderfield.jobs.accept import Acceptor
 from ladderfield.jobs.api import JobsApi
 from ladderfield.jobs.model import Malformed, parse
-from ladderfield.jobs.test_jobs import serving_jobs_api
 from ladderfield.testing import StateService, accepted, job, settings
+from ladderfield.testing.jobs_api import serving_jobs_api
 
 A, B, C, D = (f"req-{n:06d}" for n in range(1, 5))
 ALL_NEW = {f"lf/v/n{n}": {"level": 1} for n in range(3)}
--- /dev/null
+++ b/ladderfield/leader/test_ledger.py
@@ -0,0 +1,66 @@
+"""What the leader puts on record, and under which guards."""
+
+from __future__ import annotations
+
+from ladderfield.leadership import EPOCH
+from ladderfield.testing import accepted, job
+from ladderfield.testing.leader import DeskHarness, launched, rung
+from ladderfield.view import Change
+
+
+def test_every_write_is_guarded_by_the_epoch_and_the_records_versions() -> None:
+    harness = DeskHarness()
+    harness.submit(rungs=1)
+    harness.report()
+    txn = harness.ledger.collect(True)
+    assert txn is not None and txn.guards == {EPOCH: 3, "lf/p/0": 0}
+    harness.ledger.applied(txn, 11, 1.0)
+    harness.report(rungs=(rung(0, harness.machine().claims["req-000001", 0].attempt, "exited", "done"),))
+    txn = harness.ledger.collect(True)
+    assert txn is not None and txn.guards == {EPOCH: 3, "lf/f/req-000001": 0}
+    harness.ledger.applied(txn, 12, 1.0)
+    assert harness.ledger.collect(True) is None, "a record that names the job may still come"
+    harness.tell()
+    txn = harness.ledger.collect(True)
+    assert txn is not None and txn.guards == {EPOCH: 3, "lf/j/req-000001": 5} and txn.deletes == ["lf/j/req-000001"]
+
+
+def test_a_job_on_two_records_counts_once_and_both_go_with_the_last_of_their_jobs() -> None:
+    harness = DeskHarness()
+    one, two = job("req-000001", rungs=1), job("req-000002", rungs=1)
+    harness.desk.take_changes(
+        [Change("lf/j/req-000001", accepted(one), 5), Change("lf/j/req-000002", accepted(two, one), 6)], 0.0
+    )
+    assert list(harness.desk.jobs) == ["req-000001", "req-000002"]
+    harness.tell("req-000001")
+    txn = harness.ledger.collect(True)
+    assert txn is not None and txn.deletes == ["lf/j/req-000001"]
+    harness.ledger.applied(txn, 12, 1.0)
+    # Read anew, a batch is not in the order of time: the end may stand before the record that names the job.
+    late = Change("lf/j/req-000003", accepted(job("req-000003", rungs=1)), 13)
+    harness.desk.take_changes([Change("lf/f/req-000003", {"phase": "done"}, 14), late], 0.0)
+    harness.tell("req-000002")
+    assert not harness.desk.jobs
+    txn = harness.ledger.collect(True)
+    assert txn is not None and set(txn.deletes) == {"lf/j/req-000002", "lf/j/req-000003"}
+
+
+def test_done_is_reaped_only_after_it_is_on_record() -> None:
+    harness = DeskHarness()
+    attempt = launched(harness, 2)
+    orders = harness.report(rungs=(rung(0, attempt, "exited", "done"),), now=2.0)
+    assert not [order for order in orders if order["verb"] == "reap"]
+    harness.record()
+    orders = harness.report(rungs=(rung(0, attempt, "exited", "done"),), now=3.0)
+    assert [(order["verb"], order["try"]) for order in orders if order["verb"] == "reap"] == [("reap", attempt)]
+
+
+def test_a_stale_record_is_written_again_under_its_present_version() -> None:
+    harness = DeskHarness()
+    harness.submit(rungs=1)
+    harness.report()
+    txn = harness.ledger.collect(True)
+    assert txn is not None
+    harness.ledger.restamp(txn, {"lf/p/0": 15})
+    txn = harness.ledger.collect(True)
+    assert txn is not None and txn.guards["lf/p/0"] == 15 and "req-000001" in txn.puts["lf/p/0"]
--- a/ladderfield/leader/test_limits.py
+++ b/ladderfield/leader/test_limits.py
@@ -11,33 +11,33 @@
 from ladderfield.jobs.model import FULL, parse_types, types_record
 from ladderfield.leader.ledger import Ledger, Txn
 from ladderfield.leader.pages import encoded_size
-from ladderfield.leader.test_desk import EPOCH_NOW, Stage, rung
 from ladderfield.settings import StateLimits
 from ladderfield.testing import TYPES, accepted, job
+from ladderfield.testing.leader import EPOCH_NOW, DeskHarness, rung
 
 LIMIT = 2 * 1024
 OPS = 5
 OLD = (EPOCH_NOW - 1) << 32
 
 
-def limited(data: dict[str, Any] | None = None) -> Stage:
+def limited(data: dict[str, Any] | None = None) -> DeskHarness:
     """A leader that keeps to the smaller limits, whatever it finds on record."""
-    stage = Stage(data)
-    stage.desk.pages.most = int(LIMIT * FULL)
-    stage.ledger = Ledger(stage.desk, 3, OPS)
-    return stage
+    harness = DeskHarness(data)
+    harness.desk.pages.most = int(LIMIT * FULL)
+    harness.ledger = Ledger(harness.desk, 3, OPS)
+    return harness
 
 
-def write(stage: Stage, record: dict[str, Any], most: int | None = None, times: int = 10**6) -> int:
+def write(harness: DeskHarness, record: dict[str, Any], most: int | None = None, times: int = 10**6) -> int:
     """Write what is due as the state service with the smaller limits would take it; how many changes that was."""
     ops = 0
-    while times and (txn := stage.ledger.collect(True, most)) is not None:
+    while times and (txn := harness.ledger.collect(True, most)) is not None:
         check(txn)
         record.update(txn.puts)
         for key in txn.deletes:
             record.pop(key, None)
-        stage.stamp += 1
-        stage.ledger.applied(txn, stage.stamp, 2.0)
+        harness.stamp += 1
+        harness.ledger.applied(txn, harness.stamp, 2.0)
         ops += txn.ops
         times -= 1
     return ops
@@ -51,11 +51,13 @@
 
 def read_back(record: dict[str, Any]) -> tuple[set[tuple[str, int, int]], set[tuple[str, int]]]:
     """What a successor would find: claims that bind, and finished tasks."""
-    stage = Stage({key: (value, 5) for key, value in record.items()})
+    harness = DeskHarness({key: (value, 5) for key, value in record.items()})
     claims = {
-        (claim.job.uid, claim.index, claim.attempt) for one in stage.desk.jobs.values() for claim in one.claims.values()
+        (claim.job.uid, claim.index, claim.attempt)
+        for one in harness.desk.jobs.values()
+        for claim in one.claims.values()
     }
-    done = {(one.uid, index) for one in stage.desk.jobs.values() for index in one.finished}
+    done = {(one.uid, index) for one in harness.desk.jobs.values() for index in one.finished}
     return claims, done
 
 
@@ -98,24 +100,24 @@
 
 
 def test_every_page_of_1500_machines_fits_the_smaller_limit() -> None:
-    stage = limited()
+    harness = limited()
     odd = "machine-with-an-odd-and-rather-long-name-" + "\u00e9\u0001" * 40
     for number in range(100):
-        stage.submit(f"req-{10**17 + number}", owner="blue", rungs=99_999, cores=2.0)
+        harness.submit(f"req-{10**17 + number}", owner="blue", rungs=99_999, cores=2.0)
     for host in range(1499):
-        stage.report(f"i-{host:06}", endpoint=f"10.1.{host // 250}.{host % 250}:9000")
-    stage.report(odd, endpoint="10.2.0.1:9000")
-    while stage.desk.changed:
-        stage.desk.schedule(2.0)
-    claims = list(stage.desk.unrecorded)
+        harness.report(f"i-{host:06}", endpoint=f"10.1.{host // 250}.{host % 250}:9000")
+    harness.report(odd, endpoint="10.2.0.1:9000")
+    while harness.desk.changed:
+        harness.desk.schedule(2.0)
+    claims = list(harness.desk.unrecorded)
     assert len(claims) == 3000
     record = dict[str, Any]()
-    ops = write(stage, record)
+    ops = write(harness, record)
     assert all(claim.recorded for claim in claims) and ops < len(claims) / 15, "each change records many claims"
     for claim in claims[::2]:
-        stage.desk.end(claim, True, 3.0)
-    write(stage, record)
-    assert all(encoded_size(page) <= page.size for page in stage.desk.pages.pages)
+        harness.desk.end(claim, True, 3.0)
+    write(harness, record)
+    assert all(encoded_size(page) <= page.size for page in harness.desk.pages.pages)
 
 
 def test_no_page_is_left_unwritten_because_what_went_along_with_its_claims_filled_it() -> None:
@@ -124,26 +126,26 @@
     Ends of tasks filled their page to two bytes over its size, and it was not written.
     """
     for longer in range(12):  # one of these leaves just as much room as it takes
-        stage = limited()
-        stage.submit("req-000001", owner="blue", rungs=700, cores=2.0)
+        harness = limited()
+        harness.submit("req-000001", owner="blue", rungs=700, cores=2.0)
         for host in range(3):
-            stage.report(f"m{host}" + "x" * longer * (host == 0))
-        one = stage.desk.jobs["req-000001"]
+            harness.report(f"m{host}" + "x" * longer * (host == 0))
+        one = harness.desk.jobs["req-000001"]
         one.unsettled |= set(range(100, 600, 2))
         one.finished |= one.unsettled
-        stage.desk.unsettled[one] = None
-        write(stage, {}, OPS - 1)
+        harness.desk.unsettled[one] = None
+        write(harness, {}, OPS - 1)
         assert all(claim.recorded for claim in one.claims.values()) and not one.unsettled
 
 
 def test_a_machine_whose_name_fits_no_record_gets_no_work_and_stops_nobody_elses() -> None:
-    stage = limited()
-    stage.submit(rungs=4, owner="blue")
-    stage.report("x" * 3000)
-    assert stage.desk.machines["x" * 3000].sick and not stage.desk.unrecorded
-    stage.report("m")
-    write(stage, {})
-    assert stage.report("m") and stage.desk.sweep(2.0) == ["x" * 3000]
+    harness = limited()
+    harness.submit(rungs=4, owner="blue")
+    harness.report("x" * 3000)
+    assert harness.desk.machines["x" * 3000].sick and not harness.desk.unrecorded
+    harness.report("m")
+    write(harness, {})
+    assert harness.report("m") and harness.desk.sweep(2.0) == ["x" * 3000]
 
 
 def test_pages_of_the_old_size_are_read_and_nothing_on_them_is_lost_between_any_two_writes() -> None:
@@ -151,9 +153,9 @@
     record = old_record()
     claims, done = read_back(record)
     assert len(claims) == 360 and len(done) == 450
-    stage = limited({key: (value, 5) for key, value in record.items()})
+    harness = limited({key: (value, 5) for key, value in record.items()})
     writes = 0
-    while write(stage, record, times=1):
+    while write(harness, record, times=1):
         writes += 1
         assert read_back(record) == (claims, done)
     assert writes < 60 and all(len(encode(value)) <= LIMIT for key, value in record.items() if key.startswith("lf/p/"))
@@ -171,21 +173,21 @@
         page = {"hosts": hosts, "req-000002": {"a": claims, "d": [[3000 + 2 * n] * 2 for n in range(210)]}}
         record = {"lf/j/req-000002": accepted(job("req-000002", rungs=9000, owner="blue")), "lf/p/0": page}
         before = read_back(record)
-        stage = limited({key: (value, 5) for key, value in record.items()})
+        harness = limited({key: (value, 5) for key, value in record.items()})
         for _ in range(9):
-            write(stage, record, times=1)
+            write(harness, record, times=1)
             assert read_back(record) == before
 
 
 def test_what_changes_on_pages_of_the_old_size_goes_on_others() -> None:
     record = old_record(1)
-    stage = limited({key: (value, 5) for key, value in record.items()})
-    ended = stage.desk.jobs["req-000002"].claims[3]
-    stage.desk.end(ended, True, 1.0)
-    again = stage.desk.jobs["req-000002"].claims[4]
-    stage.desk.end(again, False, 1.0)
-    moved = stage.desk.claim(again.job, 4, stage.desk.machines[ended.host], ended.host, 1.0)
-    txn = stage.ledger.collect(False)
+    harness = limited({key: (value, 5) for key, value in record.items()})
+    ended = harness.desk.jobs["req-000002"].claims[3]
+    harness.desk.end(ended, True, 1.0)
+    again = harness.desk.jobs["req-000002"].claims[4]
+    harness.desk.end(again, False, 1.0)
+    moved = harness.desk.claim(again.job, 4, harness.desk.machines[ended.host], ended.host, 1.0)
+    txn = harness.ledger.collect(False)
     assert txn is not None and "lf/p/0" not in txn.puts, "the large page can't be written"
     check(txn)
     record.update(txn.puts)
@@ -197,47 +199,47 @@
 def test_what_has_moved_is_written_again_before_the_page_it_came_from() -> None:
     """A write whose guards fail: what it moved stands nowhere but on the large page, which must not go first."""
     record = old_record(1)
-    stage = limited({key: (value, 5) for key, value in record.items()})
-    while (txn := stage.ledger.collect(True)) is not None:
+    harness = limited({key: (value, 5) for key, value in record.items()})
+    while (txn := harness.ledger.collect(True)) is not None:
         check(txn)
-        stage.ledger.restamp(txn, {})
-        again = stage.ledger.collect(True, 1)
+        harness.ledger.restamp(txn, {})
+        again = harness.ledger.collect(True, 1)
         assert again is not None and set(again.puts) <= set(txn.puts)
         record.update(again.puts)
-        stage.stamp += 1
-        stage.ledger.applied(again, stage.stamp, 2.0)
+        harness.stamp += 1
+        harness.ledger.applied(again, harness.stamp, 2.0)
         assert len(read_back(record)[0]) == 120
 
 
 def test_a_write_that_is_refused_for_good_is_made_smaller_and_stops_nothing_behind_it() -> None:
-    stage = Stage()
-    stage.submit(rungs=400, owner="blue")
+    harness = DeskHarness()
+    harness.submit(rungs=400, owner="blue")
     for host in range(200):
-        stage.report(f"m{host}")
-    claims = list(stage.desk.unrecorded)
+        harness.report(f"m{host}")
+    claims = list(harness.desk.unrecorded)
     refused = 0
     record = dict[str, Any]()
-    while (txn := stage.ledger.collect(True)) is not None:
+    while (txn := harness.ledger.collect(True)) is not None:
         if max(len(encode(value)) for value in txn.puts.values()) > LIMIT:
             refused += 1
-            stage.ledger.refused(txn)
+            harness.ledger.refused(txn)
             continue
         record.update(txn.puts)
-        stage.stamp += 1
-        stage.ledger.applied(txn, stage.stamp, 2.0)
+        harness.stamp += 1
+        harness.ledger.applied(txn, harness.stamp, 2.0)
     assert 0 < refused < 5 and all(claim.recorded for claim in claims)
-    stage.on_record.update({key: (value, 5) for key, value in record.items()})
+    harness.on_record.update({key: (value, 5) for key, value in record.items()})
     assert len({claim.attempt for claim in claims}) == 400 and sorted(record) == sorted(set(record))
 
 
 def test_a_refused_write_takes_back_what_it_had_moved() -> None:
     record = old_record(1)
-    stage = limited({key: (value, 5) for key, value in record.items()})
+    harness = limited({key: (value, 5) for key, value in record.items()})
     before = read_back(record)
-    txn = stage.ledger.collect(True)
+    txn = harness.ledger.collect(True)
     assert txn is not None and txn.moved
-    stage.ledger.refused(txn)
-    while write(stage, record, times=1):
+    harness.ledger.refused(txn)
+    while write(harness, record, times=1):
         assert read_back(record) == before
 
 
@@ -251,8 +253,8 @@
 
 def test_an_urgent_stop_does_not_wait_for_pages_that_are_moved() -> None:
     record = old_record(1)
-    stage = limited({key: (value, 5) for key, value in record.items()})
-    claim = stage.desk.jobs["req-000002"].claims[7]
-    stage.tell("req-000002", "cancelled")
-    orders = stage.report(claim.host, (rung(7, claim.attempt, uid="req-000002"),))
+    harness = limited({key: (value, 5) for key, value in record.items()})
+    claim = harness.desk.jobs["req-000002"].claims[7]
+    harness.tell("req-000002", "cancelled")
+    orders = harness.report(claim.host, (rung(7, claim.attempt, uid="req-000002"),))
     assert [order["verb"] for order in orders] == ["stop"]
--- a/ladderfield/leader/test_placement.py
+++ b/ladderfield/leader/test_placement.py
@@ -6,15 +6,15 @@
 
 import pytest
 
-from ladderfield.leader.test_desk import EPOCH_NOW, Stage, launched, rung
 from ladderfield.testing import accepted, job
+from ladderfield.testing.leader import EPOCH_NOW, DeskHarness, launched, rung
 from ladderfield.workers.machine import CLOCKS
 
 LEASE = 12.0 * CLOCKS
 GRACE = 36.0  # how long an earlier leader may answer
 
 
-def left(*jobs: tuple[dict[str, Any], str], cancelled: bool = False) -> Stage:
+def left(*jobs: tuple[dict[str, Any], str], cancelled: bool = False) -> DeskHarness:
     """What an earlier leader left.
 
     Of each job so many first tasks are claimed, each on a machine of its own, whose zone the text names (``a`` is za).
@@ -28,23 +28,23 @@
         data[f"lf/p/{number}"] = ({"hosts": hosts, uid: {"a": claims}}, 6)
         if cancelled:
             data[f"lf/f/{uid}"] = ({"phase": "cancelled", "at": 1000.0}, 7)
-    return Stage(data)
+    return DeskHarness(data)
 
 
-def placed(stage: Stage, since: float, until: float, without: str = "") -> str:
+def placed(harness: DeskHarness, since: float, until: float, without: str = "") -> str:
     """Machines with room report in both zones, every second; where claims of ours stand in the end."""
     now = since
     while now <= until:
         for host in ("a1", "a2", "a3", "a4", "b1", "b2", "b3", "b4"):
             if host != without:
-                known = stage.desk.machines.get(host)
+                known = harness.desk.machines.get(host)
                 claims = [one for one in known.claims.values() if one.recorded] if known else []
                 rungs = tuple(rung(one.index, one.attempt, uid=one.job.uid) for one in claims)
-                stage.report(host, rungs, now=now, yard="z" + host[0])
-        stage.desk.sweep(now)
-        stage.desk.schedule(now)
+                harness.report(host, rungs, now=now, yard="z" + host[0])
+        harness.desk.sweep(now)
+        harness.desk.schedule(now)
         now += 1.0
-    claims = [claim for one in stage.desk.jobs.values() for claim in one.claims.values()]
+    claims = [claim for one in harness.desk.jobs.values() for claim in one.claims.values()]
     return "".join(sorted(claim.zone[1] for claim in claims if claim.attempt >> 32 == EPOCH_NOW))
 
 
@@ -64,10 +64,10 @@
     changes: dict[str, Any], silent: str, before: str, after: str | None
 ) -> None:
     """In their zone they may still run, for as long as an earlier leader may have renewed their lease."""
-    stage = left(({"owner": "blue", **changes}, silent))
-    assert placed(stage, 1.0, 2.0) == before
-    assert placed(stage, 3.0, GRACE + LEASE - 1.0) == before
-    whole = placed(stage, GRACE + LEASE, GRACE + LEASE + 2.0)
+    harness = left(({"owner": "blue", **changes}, silent))
+    assert placed(harness, 1.0, 2.0) == before
+    assert placed(harness, 3.0, GRACE + LEASE - 1.0) == before
+    whole = placed(harness, GRACE + LEASE, GRACE + LEASE + 2.0)
     assert len(whole) == changes["rungs"]
     assert after is None or whole == after
     if "oneZone" in changes:
@@ -79,22 +79,22 @@
 @pytest.mark.parametrize("how", ["deleted", "silent", "new session"])
 @pytest.mark.parametrize("placement", ["oneZone", "spread", "yard"])
 def test_lost_tasks_are_replaced_where_the_others_allow_it(placement: str, how: str) -> None:
-    stage = Stage()
+    harness = DeskHarness()
     where: dict[str, Any] = {placement: "zb" if placement == "yard" else True}
-    stage.submit(owner="blue", rungs=3, cores=4.0, **where)
-    zones = placed(stage, 1.0, 2.0)
-    stage.record()
-    claims = stage.desk.jobs["req-000001"].claims
-    lost = stage.machine(claims[0].host)
-    placed(stage, 3.0, 3.0)
+    harness.submit(owner="blue", rungs=3, cores=4.0, **where)
+    zones = placed(harness, 1.0, 2.0)
+    harness.record()
+    claims = harness.desk.jobs["req-000001"].claims
+    lost = harness.machine(claims[0].host)
+    placed(harness, 3.0, 3.0)
     if how == "deleted":
-        stage.desk.forget(lost.host, 3.5)
-        assert len(placed(stage, 4.0, 5.0, lost.host)) == 3
+        harness.desk.forget(lost.host, 3.5)
+        assert len(placed(harness, 4.0, 5.0, lost.host)) == 3
     elif how == "silent":
-        assert placed(stage, 4.0, 3.0 + LEASE - 0.5, lost.host) == zones and claims[0].host == lost.host
-        placed(stage, 3.0 + LEASE, 5.0 + LEASE, lost.host)
+        assert placed(harness, 4.0, 3.0 + LEASE - 0.5, lost.host) == zones and claims[0].host == lost.host
+        placed(harness, 3.0 + LEASE, 5.0 + LEASE, lost.host)
     else:
-        stage.report(lost.host, tenure=2, now=3.5, yard=lost.zone)
+        harness.report(lost.host, tenure=2, now=3.5, yard=lost.zone)
     again = "".join(sorted(claim.zone[1] for claim in claims.values()))
     assert len(again) == 3 and len(set(again)) == (2 if placement == "spread" else 1)
     assert how == "new session" or claims[0].host != lost.host
@@ -105,48 +105,48 @@
 @pytest.mark.parametrize("cancelled", [False, True])
 def test_a_team_at_its_limit_stays_there_until_what_it_left_is_surely_gone(cancelled: bool, how: str) -> None:
     """Its machines can't be asked when the leader changes; cancelled or not, its tasks may still run."""
-    stage = left(({"rungs": 2}, "ab"), ({"rungs": 2}, "ab"), cancelled=cancelled)
-    assert stage.desk.teams.cpus["red"] == 16.0
-    stage.submit("req-000009", rungs=4, cores=4.0)
-    assert placed(stage, 1.0, 25.0) == ""
+    harness = left(({"rungs": 2}, "ab"), ({"rungs": 2}, "ab"), cancelled=cancelled)
+    assert harness.desk.teams.cpus["red"] == 16.0
+    harness.submit("req-000009", rungs=4, cores=4.0)
+    assert placed(harness, 1.0, 25.0) == ""
     lost = [f"req-00000{number}-{index}" for number in (1, 2) for index in (0, 1)]
     if how == "lease":
-        assert placed(stage, 26.0, GRACE + LEASE - 1.0) == ""
+        assert placed(harness, 26.0, GRACE + LEASE - 1.0) == ""
         lost = lost[:1]
     now = 26.0 if how != "lease" else GRACE + LEASE
     for count, host in enumerate(lost, 1):
         if how == "deleted":
-            stage.desk.forget(host, now)
+            harness.desk.forget(host, now)
         elif how == "told":
-            zone, (claim,) = stage.machine(host).zone, stage.machine(host).claims.values()
-            stage.report(host, now=now, epoch=EPOCH_NOW - 1, yard=zone)
-            assert claim in stage.machine(host).claims.values(), "it has not taken our epoch: an order may still come"
-            stage.report(host, now=now, yard=zone)
-        ours = placed(stage, now, now + 1.0)
+            zone, (claim,) = harness.machine(host).zone, harness.machine(host).claims.values()
+            harness.report(host, now=now, epoch=EPOCH_NOW - 1, yard=zone)
+            assert claim in harness.machine(host).claims.values(), "it has not taken our epoch: an order may still come"
+            harness.report(host, now=now, yard=zone)
+        ours = placed(harness, now, now + 1.0)
         now += 2.0
-        assert stage.desk.teams.cpus["red"] <= 16.0
+        assert harness.desk.teams.cpus["red"] <= 16.0
         if cancelled and how == "deleted":
             assert len(ours) == count
-    placed(stage, now, now)
-    assert stage.desk.teams.cpus["red"] == 16.0
-    assert not cancelled or len(stage.desk.jobs["req-000009"].claims) == 4
+    placed(harness, now, now)
+    assert harness.desk.teams.cpus["red"] == 16.0
+    assert not cancelled or len(harness.desk.jobs["req-000009"].claims) == 4
 
 
 @pytest.mark.parametrize("out", ["running", "launch under way"])
 def test_what_is_cancelled_on_a_machine_that_hangs_counts_until_it_is_gone(out: str) -> None:
-    stage = Stage()
+    harness = DeskHarness()
     if out == "running":
-        attempt = launched(stage, 1, cores=4.0, oneZone=True)
-        stage.report(rungs=(rung(0, attempt),), now=2.0)
+        attempt = launched(harness, 1, cores=4.0, oneZone=True)
+        harness.report(rungs=(rung(0, attempt),), now=2.0)
     else:
-        stage.submit(rungs=1, cores=4.0)
-        stage.report()
-        stage.record()
-        assert stage.desk.sessions.orders(stage.machine(), 2.0, None)
-    stage.tell(phase="cancelled")
-    stage.submit("req-000002", rungs=4, cores=4.0)
-    placed(stage, 3.0, 12.0)
-    assert stage.desk.teams.cpus["red"] == 16.0 and len(stage.desk.jobs["req-000002"].claims) == 3
-    stage.desk.forget("m", 12.5)
-    placed(stage, 13.0, 14.0)
-    assert stage.desk.teams.cpus["red"] == 16.0 and len(stage.desk.jobs["req-000002"].claims) == 4
+        harness.submit(rungs=1, cores=4.0)
+        harness.report()
+        harness.record()
+        assert harness.desk.sessions.orders(harness.machine(), 2.0, None)
+    harness.tell(phase="cancelled")
+    harness.submit("req-000002", rungs=4, cores=4.0)
+    placed(harness, 3.0, 12.0)
+    assert harness.desk.teams.cpus["red"] == 16.0 and len(harness.desk.jobs["req-000002"].claims) == 3
+    harness.desk.forget("m", 12.5)
+    placed(harness, 13.0, 14.0)
+    assert harness.desk.teams.cpus["red"] == 16.0 and len(harness.desk.jobs["req-000002"].claims) == 4
--- a/ladderfield/leader/test_size.py
+++ b/ladderfield/leader/test_size.py
@@ -8,13 +8,13 @@
 from ladderfield.fleet.cloud import Cloud
 from ladderfield.jobs.chains import Chains
 from ladderfield.leader.actor import Leader
-from ladderfield.leader.test_desk import Stage
 from ladderfield.leadership import Term
 from ladderfield.peers import back_most
 from ladderfield.queues.pick import Queues
 from ladderfield.server import USERS_SHARE
 from ladderfield.state import StateClient
 from ladderfield.testing import settings
+from ladderfield.testing.leader import DeskHarness
 from ladderfield.view import View
 from ladderfield.workers.machine import Machine
 
@@ -22,16 +22,16 @@
 KEPT = 4  # connections that the clients of the state service and the cloud keep, each
 
 
-def crowd(monkeypatch: pytest.MonkeyPatch, jobs: int) -> tuple[Stage, dict[str, int]]:
+def crowd(monkeypatch: pytest.MonkeyPatch, jobs: int) -> tuple[DeskHarness, dict[str, int]]:
     """All machines full, thousands of tasks queued; and what a pass looks at."""
-    stage = Stage()
+    harness = DeskHarness()
     for number in range(jobs):
-        stage.submit(f"req-{number:06}", owner="blue", rungs=100, bundle=f"img-{number % 10}", cores=2.0)
+        harness.submit(f"req-{number:06}", owner="blue", rungs=100, bundle=f"img-{number % 10}", cores=2.0)
     for host in range(MACHINES):
-        stage.report(f"m{host:03}")
-    while stage.desk.changed:
-        stage.desk.schedule(1.5)
-    stage.record()
+        harness.report(f"m{host:03}")
+    while harness.desk.changed:
+        harness.desk.schedule(1.5)
+    harness.record()
     looked = {"room": 0, "queues": 0}
     has_room, pick = Machine.has_room, Queues._pick
 
@@ -45,22 +45,22 @@
 
     monkeypatch.setattr(Machine, "has_room", counted_room)
     monkeypatch.setattr(Queues, "_pick", staticmethod(counted_pick))
-    return stage, looked
+    return harness, looked
 
 
 def test_a_pass_looks_at_the_machines_that_became_free(monkeypatch: pytest.MonkeyPatch) -> None:
-    stage, looked = crowd(monkeypatch, 40)
-    free = [stage.machine(f"m{number:03}") for number in range(5)]
+    harness, looked = crowd(monkeypatch, 40)
+    free = [harness.machine(f"m{number:03}") for number in range(5)]
     for machine in free:
         for claim in list(machine.claims.values()):
-            stage.desk.end(claim, True, 2.0)
-    assert stage.desk.schedule(2.0) == 10
+            harness.desk.end(claim, True, 2.0)
+    assert harness.desk.schedule(2.0) == 10
     assert looked["queues"] < 100 and looked["room"] < 1000, looked
 
 
 def test_a_pass_with_nothing_free_looks_at_no_machine(monkeypatch: pytest.MonkeyPatch) -> None:
-    stage, looked = crowd(monkeypatch, 40)
-    stage.desk.schedule(2.0)
+    harness, looked = crowd(monkeypatch, 40)
+    harness.desk.schedule(2.0)
     assert looked == {"room": 0, "queues": 0}
 
 
@@ -88,25 +88,25 @@
 
 def test_large_jobs_begin_and_go_on_while_small_ones_keep_coming() -> None:
     """Least work first alone would let a large job wait for ever, and rank a low one: part of the room goes by age."""
-    stage = Stage()
+    harness = DeskHarness()
     for host in range(10):
-        stage.report(f"m{host}")
-    stage.submit("req-000001", owner="blue", rungs=300, rank="best_effort", expectS=30.0)
+        harness.report(f"m{host}")
+    harness.submit("req-000001", owner="blue", rungs=300, rank="best_effort", expectS=30.0)
     begun = None
     for step in range(150):
         now = 2.0 + 2.0 * step
         for number in range(5):  # 20 tasks of 4 s each: all that ten machines can do in 2 s, twice over
-            stage.submit(f"req-{step * 5 + number + 100:06}", owner="blue", rungs=8, expectS=4.0)
+            harness.submit(f"req-{step * 5 + number + 100:06}", owner="blue", rungs=8, expectS=4.0)
         for host in range(10):
-            stage.report(f"m{host}", now=now)
-        stage.record()
-        stage.desk.schedule(now)
-        large = stage.desk.jobs["req-000001"]
+            harness.report(f"m{host}", now=now)
+        harness.record()
+        harness.desk.schedule(now)
+        large = harness.desk.jobs["req-000001"]
         if large.claims and begun is None:
             begun = now
-        for machine in stage.desk.machines.values():
+        for machine in harness.desk.machines.values():
             for claim in list(machine.claims.values()):
-                stage.desk.end(claim, True, now)
+                harness.desk.end(claim, True, now)
     assert begun is not None and begun < 240
     assert large.done > 20, "and it goes on"
 
@@ -116,20 +116,20 @@
 
     Old jobs that ran in their turn held a quarter of the cpus.
     """
-    stage = Stage()
+    harness = DeskHarness()
     for host in range(10):
-        stage.report(f"m{host}")
-    stage.submit("req-000001", owner="blue", rungs=18, expectS=500.0)
-    stage.desk.schedule(1.5)
-    stage.submit("req-000002", owner="blue", rungs=300, rank="best_effort")
-    stage.submit("req-000003", owner="blue", rungs=300, rank="best_effort")
+        harness.report(f"m{host}")
+    harness.submit("req-000001", owner="blue", rungs=18, expectS=500.0)
+    harness.desk.schedule(1.5)
+    harness.submit("req-000002", owner="blue", rungs=300, rank="best_effort")
+    harness.submit("req-000003", owner="blue", rungs=300, rank="best_effort")
     for host in range(10):
-        stage.report(f"m{host}", now=130.0)
-    stage.submit("req-000004", owner="blue", rungs=30)
-    stage.desk.jobs["req-000004"].at = 129.0
-    stage.desk.schedule(130.0)
-    assert stage.desk.jobs["req-000002"].claims and stage.desk.jobs["req-000001"].claims
-    for claim in list(stage.desk.jobs["req-000002"].claims.values())[:1]:
-        stage.desk.end(claim, True, 131.0)
-    stage.desk.schedule(131.0)
-    assert stage.desk.jobs["req-000003"].claims, "what has not begun comes first"
+        harness.report(f"m{host}", now=130.0)
+    harness.submit("req-000004", owner="blue", rungs=30)
+    harness.desk.jobs["req-000004"].at = 129.0
+    harness.desk.schedule(130.0)
+    assert harness.desk.jobs["req-000002"].claims and harness.desk.jobs["req-000001"].claims
+    for claim in list(harness.desk.jobs["req-000002"].claims.values())[:1]:
+        harness.desk.end(claim, True, 131.0)
+    harness.desk.schedule(131.0)
+    assert harness.desk.jobs["req-000003"].claims, "what has not begun comes first"
--- a/ladderfield/leader/test_stranded.py
+++ b/ladderfield/leader/test_stranded.py
@@ -9,20 +9,20 @@
 
 from ladderfield.fleet.plan import Planner
 from ladderfield.leader.desk import Desk
-from ladderfield.leader.test_desk import Stage, launched, rung
 from ladderfield.testing.cluster import cluster
+from ladderfield.testing.leader import DeskHarness, launched, launched_by_push, rung
 
 WAIT = 90.0  # seconds that no job may wait once a machine that fits has room
 
 
-def begins(stage: Stage, uid: str, hosts: str = "m", since: float = 2.0) -> bool:
+def begins(harness: DeskHarness, uid: str, hosts: str = "m", since: float = 2.0) -> bool:
     """Machines report without any task, twice in a report interval; whether the job is launched in time."""
     for step in range(int(WAIT)):
         now = since + step
-        stage.desk.sweep(now)
+        harness.desk.sweep(now)
         for host in hosts:
-            orders = stage.report(host, now=now)
-            stage.record(now)
+            orders = harness.report(host, now=now)
+            harness.record(now)
             if any(order["verb"] == "launch" and order["rung"].startswith(uid) for order in orders):
                 return True
     return False
@@ -30,38 +30,34 @@
 
 @pytest.mark.parametrize("others", ["", "abc"])
 def test_a_job_whose_task_failed_comes_back_to_the_only_machine_that_fits(others: str) -> None:
-    stage = Stage()
+    harness = DeskHarness()
     for host in others:
-        stage.report(host, yard="zb")
-    attempt = launched(stage, 1, yard="za")
-    stage.report(rungs=(rung(0, attempt, "exited", "error"),), now=2.0)
-    assert not stage.report(now=2.5), "after a pause"
-    assert begins(stage, "req-000001", "m" + others, 3.0)
+        harness.report(host, yard="zb")
+    attempt = launched(harness, 1, yard="za")
+    harness.report(rungs=(rung(0, attempt, "exited", "error"),), now=2.0)
+    assert not harness.report(now=2.5), "after a pause"
+    assert begins(harness, "req-000001", "m" + others, 3.0)
 
 
 @pytest.mark.parametrize("answer", [None, 409])
 def test_a_task_stopped_for_room_before_its_lost_launch_shows_starts_anew(answer: int | None) -> None:
-    stage = Stage()
-    stage.submit(rungs=1)
-    stage.report()
-    stage.record()
-    machine = stage.machine()
-    (order,) = stage.desk.sessions.orders(machine, 1.0, None)
-    stage.desk.stop(machine.claims["req-000001", 0], "preempted", 2.0)
+    harness = DeskHarness()
+    machine, order = launched_by_push(harness)
+    harness.desk.stop(machine.claims["req-000001", 0], "preempted", 2.0)
     if answer is not None:
-        stage.desk.sessions.answered(machine, [order["try"]], False)
+        harness.desk.sessions.answered(machine, [order["try"]], False)
     listed: dict[str, dict] = {}
     for step in range(int(WAIT)):
-        for told in stage.report(rungs=tuple(listed.values()), now=2.0 + step):
+        for told in harness.report(rungs=tuple(listed.values()), now=2.0 + step):
             if told["verb"] == "launch":
                 listed.setdefault(told["rung"], rung(0, told["try"]))
             elif listed.get(told["rung"], {}).get("try") == told["try"]:
                 listed[told["rung"]] |= {"phase": "exited", "cause": "stopped"}
         if step == 10 and answer is None:
             assert machine.doubts == {order["try"]: 1}, "the copy may still come"
-        stage.report("other", now=2.0 + step)
-        stage.record(2.0 + step)
-        if stage.desk.jobs["req-000001"].claims[0].attempt != order["try"]:
+        harness.report("other", now=2.0 + step)
+        harness.record(2.0 + step)
+        if harness.desk.jobs["req-000001"].claims[0].attempt != order["try"]:
             assert answer or listed["req-000001/0"]["try"] == order["try"], "which what is listed makes harmless"
             return
     raise AssertionError("stranded")
@@ -85,40 +81,40 @@
 
 @pytest.mark.parametrize("how", ["deleted", "silent", "sick", "recalled", "deaf"])
 def test_what_was_dealt_to_a_machine_that_is_lost_starts_on_another(how: str) -> None:
-    stage = Stage()
-    stage.report()
-    stage.submit(rungs=8, owner="blue")
-    stage.desk.schedule(1.0)
-    assert stage.machine().queue and len(stage.machine().claims) == 2
-    lost = stage.machine()
+    harness = DeskHarness()
+    harness.report()
+    harness.submit(rungs=8, owner="blue")
+    harness.desk.schedule(1.0)
+    assert harness.machine().queue and len(harness.machine().claims) == 2
+    lost = harness.machine()
     if how == "deleted":
-        stage.desk.forget("m", 2.0)
+        harness.desk.forget("m", 2.0)
     elif how == "deaf":
-        stage.desk.sessions.ignored(lost, 2, 2.0)
+        harness.desk.sessions.ignored(lost, 2, 2.0)
     elif how == "recalled":
-        stage.report(now=2.0, recallS=30.0)
+        harness.report(now=2.0, recallS=30.0)
     elif how == "sick":
         lost.sick = True
     for now in (8.0, 8.5):
-        stage.desk.sweep(now)
+        harness.desk.sweep(now)
         for host in "abc":
-            stage.report(host, now=now)
-    elsewhere = {index for one in "abc" for (_, index) in stage.machine(one).claims}
+            harness.report(host, now=now)
+    elsewhere = {index for one in "abc" for (_, index) in harness.machine(one).claims}
     assert len(elsewhere) == 6 and elsewhere >= {2, 3, 4, 5, 6, 7} - {index for (_, index) in lost.claims}
 
 
 def test_room_cleared_for_a_replica_that_is_cancelled_goes_to_others() -> None:
-    stage = Stage()
-    attempt = launched(stage, 2)
+    harness = DeskHarness()
+    attempt = launched(harness, 2)
     both = (rung(0, attempt), rung(1, attempt + 1))
-    stage.report(rungs=both, now=2.0)
-    stage.submit("req-000002", rank="production", shape="daemon", cores=4.0, rungs=1)
-    stage.desk.schedule(2.0)
-    assert stage.machine().hold_until > 2.0
-    stage.tell("req-000002", "cancelled")
+    harness.report(rungs=both, now=2.0)
+    harness.submit("req-000002", rank="production", shape="daemon", cores=4.0, rungs=1)
+    harness.desk.schedule(2.0)
+    assert harness.machine().hold_until > 2.0
+    harness.tell("req-000002", "cancelled")
     gone = (rung(0, attempt, "exited", "stopped"), rung(1, attempt + 1, "exited", "stopped"))
-    stage.report(rungs=gone, now=3.0)
-    assert begins(stage, "req-000001")
+    harness.report(rungs=gone, now=3.0)
+    assert begins(harness, "req-000001")
 
 
 @pytest.mark.parametrize("takeover", [False, True])
@@ -192,30 +188,30 @@
 
 
 def test_pages_keep_nothing_of_a_job_that_is_cancelled_half_done() -> None:
-    stage = Stage()
-    attempt = launched(stage, 2)
-    empty = stage.desk.pages.pages[0].size
-    stage.report(rungs=(rung(0, attempt, "exited", "done"), rung(1, attempt + 1)), now=2.0)
-    stage.record()
-    stage.tell(phase="cancelled")
-    stage.report(rungs=(rung(1, attempt + 1, "exited", "stopped"),), now=3.0)
-    stage.record()
-    assert stage.desk.pages.pages[0].size < empty and not stage.desk.pages.pages[0].value()
-    assert not (stage.desk.jobs or stage.desk.cancelled_at or stage.desk.spent)
+    harness = DeskHarness()
+    attempt = launched(harness, 2)
+    empty = harness.desk.pages.pages[0].size
+    harness.report(rungs=(rung(0, attempt, "exited", "done"), rung(1, attempt + 1)), now=2.0)
+    harness.record()
+    harness.tell(phase="cancelled")
+    harness.report(rungs=(rung(1, attempt + 1, "exited", "stopped"),), now=3.0)
+    harness.record()
+    assert harness.desk.pages.pages[0].size < empty and not harness.desk.pages.pages[0].value()
+    assert not (harness.desk.jobs or harness.desk.cancelled_at or harness.desk.spent)
 
 
 def test_the_room_of_machines_that_can_not_report_is_rented_anew_unless_most_are_so() -> None:
     for reporting, rented in (("ab", 1), ("", 0)):
-        stage = Stage()
-        stage.submit(owner="blue", rungs=3, cores=4.0, expectS=500.0)
+        harness = DeskHarness()
+        harness.submit(owner="blue", rungs=3, cores=4.0, expectS=500.0)
         for host in ("m", *reporting):
-            stage.report(host)
-        (claim,) = stage.machine().claims.values()
-        stage.desk.end(claim, False, 2.0)
+            harness.report(host)
+        (claim,) = harness.machine().claims.values()
+        harness.desk.end(claim, False, 2.0)
         for host in reporting:
-            stage.report(host, now=10.0)
-        stage.machine().fresh_at = 10.0  # it answers what we send
-        stage.desk.sweep(10.0)
-        assert stage.machine().mute
-        waiting = stage.desk.jobs["req-000001"].waiting
-        assert sum(one.count for one in Planner(stage.desk).rentals(10.0)) == waiting - 1 + rented
+            harness.report(host, now=10.0)
+        harness.machine().fresh_at = 10.0  # it answers what we send
+        harness.desk.sweep(10.0)
+        assert harness.machine().mute
+        waiting = harness.desk.jobs["req-000001"].waiting
+        assert sum(one.count for one in Planner(harness.desk).rentals(10.0)) == waiting - 1 + rented
--- a/ladderfield/leader/test_waiting.py
+++ b/ladderfield/leader/test_waiting.py
@@ -5,48 +5,48 @@
 from typing import Any
 
 from ladderfield.fleet.plan import Planner
-from ladderfield.leader.test_desk import ABOUT, EPOCH_NOW, Stage, rung
 from ladderfield.testing import accepted, job
+from ladderfield.testing.leader import ABOUT, EPOCH_NOW, DeskHarness, rung
 
 A, B, C = "req-000001", "req-000002", "req-000003"
 
 
-def pipeline(**last: Any) -> Stage:
+def pipeline(**last: Any) -> DeskHarness:
     """Three jobs of one task each, one after the other, and a machine."""
-    stage = Stage()
-    stage.submit(A, rungs=1)
-    stage.submit(B, rungs=1, waitsOn=[A])
-    stage.submit(C, rungs=1, waitsOn=[B], **last)
-    return stage
+    harness = DeskHarness()
+    harness.submit(A, rungs=1)
+    harness.submit(B, rungs=1, waitsOn=[A])
+    harness.submit(C, rungs=1, waitsOn=[B], **last)
+    return harness
 
 
-def claimed(stage: Stage) -> set[str]:
-    return {task[0] for machine in stage.desk.machines.values() for task in machine.claims}
+def claimed(harness: DeskHarness) -> set[str]:
+    return {task[0] for machine in harness.desk.machines.values() for task in machine.claims}
 
 
-def finish(stage: Stage, uid: str, now: float) -> None:
+def finish(harness: DeskHarness, uid: str, now: float) -> None:
     """The job's only task runs and ends."""
-    claim = stage.desk.jobs[uid].claims[0]
-    stage.record(now)
-    stage.report(now=now)
-    stage.report(rungs=(rung(0, claim.attempt, uid=uid),), now=now)
-    stage.report(rungs=(rung(0, claim.attempt, "exited", "done", uid=uid),), now=now)
+    claim = harness.desk.jobs[uid].claims[0]
+    harness.record(now)
+    harness.report(now=now)
+    harness.report(rungs=(rung(0, claim.attempt, uid=uid),), now=now)
+    harness.report(rungs=(rung(0, claim.attempt, "exited", "done", uid=uid),), now=now)
 
 
 def test_stages_run_one_after_the_other_and_each_only_once_the_end_before_is_on_record() -> None:
-    stage = pipeline()
-    stage.report()
-    assert claimed(stage) == {A}
-    finish(stage, A, 2.0)
-    stage.desk.schedule(2.0)
-    assert claimed(stage) == set(), "A has finished, but that is not on record"
-    stage.record(3.0)
-    stage.desk.schedule(3.0)
-    assert claimed(stage) == {B} and stage.desk.jobs[B].since == 3.0
-    finish(stage, B, 4.0)
-    stage.record(4.0)
-    stage.desk.schedule(4.0)
-    assert claimed(stage) == {C}
+    harness = pipeline()
+    harness.report()
+    assert claimed(harness) == {A}
+    finish(harness, A, 2.0)
+    harness.desk.schedule(2.0)
+    assert claimed(harness) == set(), "A has finished, but that is not on record"
+    harness.record(3.0)
+    harness.desk.schedule(3.0)
+    assert claimed(harness) == {B} and harness.desk.jobs[B].since == 3.0
+    finish(harness, B, 4.0)
+    harness.record(4.0)
+    harness.desk.schedule(4.0)
+    assert claimed(harness) == {C}
 
 
 def test_a_takeover_between_the_last_task_and_its_record_starts_nothing_early() -> None:
@@ -55,67 +55,67 @@
         f"lf/j/{B}": (accepted(job(B, rungs=1, waitsOn=[A])), 5),
         "lf/p/0": ({A: {"d": [[0, 0]]}}, 6),
     }
-    stage = Stage(data)
-    stage.report()
-    assert claimed(stage) == set()
-    stage.record(2.0)
-    stage.desk.schedule(2.0)
-    assert claimed(stage) == {B}
+    harness = DeskHarness(data)
+    harness.report()
+    assert claimed(harness) == set()
+    harness.record(2.0)
+    harness.desk.schedule(2.0)
+    assert claimed(harness) == {B}
 
 
 def test_a_final_record_that_is_there_already_is_not_guessed_at() -> None:
     """A late copy of our own write looks like a cancellation at the last moment: only the record itself says which."""
     for phase in ("done", "cancelled"):
-        stage = pipeline()
-        stage.report()
-        finish(stage, A, 2.0)
-        txn = stage.ledger.collect(True)
+        harness = pipeline()
+        harness.report()
+        finish(harness, A, 2.0)
+        txn = harness.ledger.collect(True)
         assert txn is not None and [job.uid for job in txn.finals] == [A]
-        stage.ledger.restamp(txn, {f"lf/f/{A}": 17})
-        stage.desk.schedule(2.0)
-        assert claimed(stage) == set() and not stage.desk.orphaned
-        stage.tell(A, phase)
-        stage.desk.schedule(2.0)
-        assert claimed(stage) == ({B} if phase == "done" else set())
-        assert {job.uid for job in stage.desk.orphaned} == ({B, C} if phase == "cancelled" else set())
+        harness.ledger.restamp(txn, {f"lf/f/{A}": 17})
+        harness.desk.schedule(2.0)
+        assert claimed(harness) == set() and not harness.desk.orphaned
+        harness.tell(A, phase)
+        harness.desk.schedule(2.0)
+        assert claimed(harness) == ({B} if phase == "done" else set())
+        assert {job.uid for job in harness.desk.orphaned} == ({B, C} if phase == "cancelled" else set())
 
 
 def test_what_waits_for_a_cancelled_job_gets_its_final_record_and_is_cleared_away() -> None:
-    stage = pipeline()
-    stage.report()
-    stage.tell(A, "cancelled")
-    stage.submit("req-000004", waitsOn=[C])  # named after it was cancelled
-    stage.record(2.0)
-    assert {B, C, "req-000004"}.isdisjoint(claimed(stage))
+    harness = pipeline()
+    harness.report()
+    harness.tell(A, "cancelled")
+    harness.submit("req-000004", waitsOn=[C])  # named after it was cancelled
+    harness.record(2.0)
+    assert {B, C, "req-000004"}.isdisjoint(claimed(harness))
     for uid in (B, C, "req-000004"):
-        assert stage.desk.jobs[uid].final == "cancelled"
-        stage.tell(uid, "cancelled")
-    assert set(stage.desk.jobs) <= {A}
+        assert harness.desk.jobs[uid].final == "cancelled"
+        harness.tell(uid, "cancelled")
+    assert set(harness.desk.jobs) <= {A}
 
 
 def test_many_cancelled_with_one_are_written_in_bounded_transactions() -> None:
-    stage = Stage()
-    stage.submit(A)
+    harness = DeskHarness()
+    harness.submit(A)
     for number in range(100, 150):
-        stage.submit(f"req-{number:06}", waitsOn=[A])
-    stage.tell(A, "cancelled")
-    stage.ledger.most = 5
+        harness.submit(f"req-{number:06}", waitsOn=[A])
+    harness.tell(A, "cancelled")
+    harness.ledger.most = 5
     sizes = []
-    while (txn := stage.ledger.collect(True)) is not None:
+    while (txn := harness.ledger.collect(True)) is not None:
         sizes.append(txn.ops)
         assert len(txn.guards) <= 4 * 5
-        stage.ledger.applied(txn, 20 + len(sizes), 2.0)
+        harness.ledger.applied(txn, 20 + len(sizes), 2.0)
     assert max(sizes) <= 5 and sum(sizes) >= 50
 
 
 def test_a_waiting_job_is_in_nobodys_way() -> None:
-    stage = pipeline(rank="best_effort")
-    stage.submit("req-000009", waitsOn=[A], rungs=500, owner="blue")
-    stage.report()
-    stage.record()
-    planner = Planner(stage.desk)
-    assert planner.rentals(2.0) == [] and stage.desk.teams.cpus["blue"] == 0.0
-    assert all(not one.queued and not one.undealt for uid, one in stage.desk.jobs.items() if uid != A)
+    harness = pipeline(rank="best_effort")
+    harness.submit("req-000009", waitsOn=[A], rungs=500, owner="blue")
+    harness.report()
+    harness.record()
+    planner = Planner(harness.desk)
+    assert planner.rentals(2.0) == [] and harness.desk.teams.cpus["blue"] == 0.0
+    assert all(not one.queued and not one.undealt for uid, one in harness.desk.jobs.items() if uid != A)
 
 
 def test_a_successor_knows_since_when_a_job_is_ready_and_for_whom_it_is_urgent() -> None:
@@ -124,17 +124,17 @@
         f"lf/j/{C}": (accepted(job(C, waitsOn=[B], rank="urgent", dueS=200.0), at=900.0), 5),
         f"lf/f/{A}": ({"phase": "done", "at": 990.0}, 6),
     }
-    one = Stage(data).desk.jobs[B]
+    one = DeskHarness(data).desk.jobs[B]
     assert (one.since, one.at, one.order, one.due) == (-10.0, -100.0, (1,), (1095.0, 200.0))
 
 
 def test_a_claim_of_an_urgent_chain_goes_first() -> None:
-    stage = Stage()
-    stage.submit("req-000000", rank="standard", owner="blue", rungs=2)
-    stage.submit(A, rank="best_effort", owner="blue", rungs=1)
-    stage.submit(B, rank="urgent", owner="blue", waitsOn=[A], dueS=60.0)
-    stage.report()
-    assert A in claimed(stage)
+    harness = DeskHarness()
+    harness.submit("req-000000", rank="standard", owner="blue", rungs=2)
+    harness.submit(A, rank="best_effort", owner="blue", rungs=1)
+    harness.submit(B, rank="urgent", owner="blue", waitsOn=[A], dueS=60.0)
+    harness.report()
+    assert A in claimed(harness)
 
 
 def test_a_waiting_job_survives_a_takeover_with_live_claims_before_it() -> None:
@@ -143,11 +143,11 @@
         f"lf/j/{B}": (accepted(job(B, rungs=1, waitsOn=[A])), 5),
         "lf/p/0": ({"hosts": {"m": ABOUT}, A: {"a": {"0": [(EPOCH_NOW - 1) << 32, "m"]}}}, 6),
     }
-    stage = Stage(data)
-    stage.report(rungs=(rung(0, (EPOCH_NOW - 1) << 32, uid=A),))
-    assert claimed(stage) == {A} and B in stage.desk.jobs
-    stage.report(rungs=(rung(0, (EPOCH_NOW - 1) << 32, "exited", "done", uid=A),), now=2.0)
-    assert claimed(stage) == set()
-    stage.record(3.0)
-    stage.desk.schedule(3.0)
-    assert claimed(stage) == {B}
+    harness = DeskHarness(data)
+    harness.report(rungs=(rung(0, (EPOCH_NOW - 1) << 32, uid=A),))
+    assert claimed(harness) == {A} and B in harness.desk.jobs
+    harness.report(rungs=(rung(0, (EPOCH_NOW - 1) << 32, "exited", "done", uid=A),), now=2.0)
+    assert claimed(harness) == set()
+    harness.record(3.0)
+    harness.desk.schedule(3.0)
+    assert claimed(harness) == {B}
--- a/ladderfield/test_wire_format.py
+++ b/ladderfield/test_wire_format.py
@@ -20,21 +20,19 @@
 from ladderfield.jobs.api import JobsApi
 from ladderfield.jobs.cancellations import Cancellations
 from ladderfield.jobs.model import types_record
-from ladderfield.jobs.test_jobs import serving_jobs_api
 from ladderfield.leader.actor import Leader
 from ladderfield.leader.messages import ReportReceived
-from ladderfield.leader.test_desk import Stage, launched, rung
-from ladderfield.leader.test_orders import claimed_leader
 from ladderfield.leadership import EPOCH, LEADER, Leadership, Term
 from ladderfield.peers import ANSWER, CANCELLED, HEALTH, RELAY, SELF, VOUCH, PeerLink, pack
 from ladderfield.rollout import VERSION
 from ladderfield.settings import Peer
 from ladderfield.state import StateClient
-from ladderfield.testing import TYPES, StateService, job, settings
+from ladderfield.testing import REPORT, TYPES, StateService, job, settings
+from ladderfield.testing.jobs_api import serving_jobs_api
+from ladderfield.testing.leader import DeskHarness, claimed_leader, launched, rung
 from ladderfield.view import View
 from ladderfield.vouching import Vouching
 from ladderfield.workers.report_handler import ReportHandler
-from ladderfield.workers.test_workers import RAW
 
 SAMPLES = Path(__file__).parent / "testdata" / "wire_format.txt"
 NOW = 1_700_000_000.25  # the time of day in all samples
@@ -160,28 +158,28 @@
 
 
 def test_records_of_the_leader() -> None:
-    stage = Stage()
-    attempt = launched(stage, 2)
-    stage.report(rungs=(rung(0, attempt, "exited", "done"), rung(1, attempt + 1)), now=3.0)
+    harness = DeskHarness()
+    attempt = launched(harness, 2)
+    harness.report(rungs=(rung(0, attempt, "exited", "done"), rung(1, attempt + 1)), now=3.0)
     samples: Samples = {}
     step = 0
     for now in (3.0, 6.0):
-        while (txn := stage.ledger.collect(True)) is not None:
+        while (txn := harness.ledger.collect(True)) is not None:
             samples[f"{step}.guards"] = encode(txn.guards)
             samples[f"{step}.puts"] = encode(txn.puts)
             samples[f"{step}.deletes"] = encode(txn.deletes)
             step += 1
-            stage.stamp += 1
-            stage.ledger.applied(txn, stage.stamp, now)
+            harness.stamp += 1
+            harness.ledger.applied(txn, harness.stamp, now)
         ended = tuple(rung(index, attempt + index, "exited", "done") for index in range(2))
-        samples[f"{step}.orders"] = encode(stage.report(rungs=ended, now=now + 1))
-    stage.submit("req-000002", shape="daemon", rungs=1, owner="blue")
-    stage.report(now=9.0)
-    stage.record(9.0)
-    samples["launch"] = encode(stage.report(now=10.0))
-    stage.tell("req-000002", "cancelled")
-    (claim,) = stage.machine().claims.values()
-    samples["stop"] = encode(stage.report(rungs=(rung(0, claim.attempt, uid="req-000002"),), now=11.0))
+        samples[f"{step}.orders"] = encode(harness.report(rungs=ended, now=now + 1))
+    harness.submit("req-000002", shape="daemon", rungs=1, owner="blue")
+    harness.report(now=9.0)
+    harness.record(9.0)
+    samples["launch"] = encode(harness.report(now=10.0))
+    harness.tell("req-000002", "cancelled")
+    (claim,) = harness.machine().claims.values()
+    samples["stop"] = encode(harness.report(rungs=(rung(0, claim.attempt, uid="req-000002"),), now=11.0))
     assert_recorded("leader", samples)
 
 
@@ -195,11 +193,11 @@
     async def report(name: str, body: Any, method: str = "POST") -> None:
         samples[name] = answer_bytes(await reports(Request(method, "/v1/report", encode(body))))
 
-    await report("no_leader", RAW)
+    await report("no_leader", REPORT)
     view.data = {LEADER: ({"member": "n0"}, 1), EPOCH: ({"epoch": 4}, 1)}
-    await report("redirected", RAW | {"tick": 2})
+    await report("redirected", REPORT | {"tick": 2})
     await report("malformed", {"host": 1})
-    await report("method", RAW, "GET")
+    await report("method", REPORT, "GET")
     leader = claimed_leader()
     sent: list[bytes] = []
 
@@ -211,10 +209,10 @@
     async with trio.open_nursery() as nursery:
         nursery.start_soon(_serve_one_report, leader)
         reports.inbox = leader.send
-        await report("from_leader", RAW | {"host": "m", "tick": 2, "epoch": 7})
+        await report("from_leader", REPORT | {"host": "m", "tick": 2, "epoch": 7})
         nursery.cancel_scope.cancel()
     reports.inbox, _ = trio.open_memory_channel[Any](0)
-    await report("inbox_full", RAW)
+    await report("inbox_full", REPORT)
     other = claimed_leader()
     async with trio.open_nursery() as nursery:
         other.dispatcher.nursery = nursery
--- a/ladderfield/testing/__init__.py
+++ b/ladderfield/testing/__init__.py
@@ -6,11 +6,12 @@
 
 from ladderfield.testing.cloud_service import CloudService
 from ladderfield.testing.network import Network
-from ladderfield.testing.samples import SETTINGS, TYPES, accepted, job, settings
+from ladderfield.testing.samples import REPORT, SETTINGS, TYPES, accepted, job, settings
 from ladderfield.testing.state_service import StateService
 from ladderfield.testing.worker import Worker
 
 __all__ = [
+    "REPORT",
     "SETTINGS",
     "TYPES",
     "CloudService",
--- /dev/null
+++ b/ladderfield/testing/jobs_api.py
@@ -0,0 +1,34 @@
+"""The jobs API on a scripted state service, without a whole controller."""
+
+from __future__ import annotations
+
+import pytest
+import trio
+
+from ladderfield.jobs.api import JobsApi
+from ladderfield.jobs.cancellations import Cancellations
+from ladderfield.jobs.chains import Chains
+from ladderfield.rollout import Rollout
+from ladderfield.state import StateClient
+from ladderfield.testing.network import Network
+from ladderfield.testing.samples import TYPES, settings
+from ladderfield.testing.state_service import StateService
+from ladderfield.view import View
+
+
+async def serving_jobs_api(monkeypatch: pytest.MonkeyPatch, nursery: trio.Nursery) -> tuple[JobsApi, StateService]:
+    """A controller's jobs API that follows a scripted state service; both are returned."""
+    net, service = Network(nursery), StateService()
+    net.http("10.2.0.1:23", service)
+    monkeypatch.setattr("ladderfield.http.connect", net.connect)
+    service.keys["lf/types"] = (TYPES, 1, None)
+    client = StateClient(settings())
+    view = View(client, settings())
+    nursery.start_soon(view.run)
+    nursery.start_soon(view.run_reads)
+    chains, rollout = Chains(view.get), Rollout(settings(), client, view)
+    view.followers.append(chains.take)
+    api = JobsApi(settings(), client, view, chains, rollout, Cancellations())
+    nursery.start_soon(api.submissions.acceptor.run)
+    await trio.sleep(0.1)
+    return api, service
--- a/ladderfield/testing/samples.py
+++ b/ladderfield/testing/samples.py
@@ -33,6 +33,10 @@
     {"name": "m4", "cores": 4, "cards": 0, "memoryGb": 16, "cacheGb": 50, "pullGbPerS": 1.0, "price": 0.2,
      "lowPrice": 0.1, "readyS": 10, "yards": ["za", "zb"]},
 ]  # fmt: skip
+REPORT: dict[str, Any] = {
+    "host": "i-1", "endpoint": "10.9.0.1:90", "flavour": "m4", "yard": "za", "loaners": False,
+    "tenure": 1, "tick": 1, "epoch": 0, "rungs": [],
+}  # fmt: skip
 
 
 def settings(member: int = 0) -> Settings:
--- a/ladderfield/workers/test_old_messages.py
+++ b/ladderfield/workers/test_old_messages.py
@@ -8,10 +8,10 @@
 import pytest
 import trio
 
-from ladderfield.leader.test_desk import ABOUT, EPOCH_NOW, Stage, rung
 from ladderfield.testing import Worker, accepted, job
 from ladderfield.testing.cluster import Cluster, cluster
 from ladderfield.testing.consistency import ConsistencyChecker
+from ladderfield.testing.leader import ABOUT, EPOCH_NOW, DeskHarness, rung
 
 REPORT_S = 2.0
 WRITERS = {
@@ -159,12 +159,12 @@
     """The first thing that a new leader hears; the claim that it found on record is that of a later attempt."""
     earlier, later = 5 << 32, (6 << 32) + 3
     page = {"req-000001": {"a": {"0": [later, "m"]}}, "hosts": {"m": ABOUT}}
-    stage = Stage({"lf/j/req-000001": (accepted(job(rungs=1)), 4), "lf/p/0": (page, 5)})
-    orders = stage.report(rungs=(rung(0, earlier, "exited", cause),), epoch=EPOCH_NOW - 1)
-    assert [claim.attempt for claim in stage.machine().claims.values()] == [later]
-    assert not stage.desk.complete and all(order["verb"] != "launch" for order in orders)
-    stage.report(rungs=(rung(0, later),))
-    assert [claim.phase for claim in stage.machine().claims.values()] == ["running"]
+    harness = DeskHarness({"lf/j/req-000001": (accepted(job(rungs=1)), 4), "lf/p/0": (page, 5)})
+    orders = harness.report(rungs=(rung(0, earlier, "exited", cause),), epoch=EPOCH_NOW - 1)
+    assert [claim.attempt for claim in harness.machine().claims.values()] == [later]
+    assert not harness.desk.complete and all(order["verb"] != "launch" for order in orders)
+    harness.report(rungs=(rung(0, later),))
+    assert [claim.phase for claim in harness.machine().claims.values()] == ["running"]
 
 
 @pytest.mark.parametrize("cancelled", [False, True], ids=["goes on", "cancelled"])
--- a/ladderfield/workers/test_workers.py
+++ b/ladderfield/workers/test_workers.py
@@ -11,16 +11,11 @@
 from ladderfield.peers import PeerLink
 from ladderfield.settings import Peer
 from ladderfield.state import StateClient
-from ladderfield.testing import settings
+from ladderfield.testing import REPORT, settings
 from ladderfield.view import View
 from ladderfield.workers.report import parse_report
 from ladderfield.workers.report_handler import ReportHandler
 
-RAW = {
-    "host": "i-1", "endpoint": "10.9.0.1:90", "flavour": "m4", "yard": "za", "loaners": False,
-    "tenure": 1, "tick": 1, "epoch": 0, "rungs": [],
-}  # fmt: skip
-
 
 async def test_a_worker_is_sent_to_the_leader_first_and_relayed_when_it_comes_back() -> None:
     own = settings(1)
@@ -38,7 +33,7 @@
 
     async def after(pause: float, host: str, epoch: int) -> str:
         await trio.sleep(pause)
-        body = msgspec.json.encode(RAW | {"host": host, "epoch": epoch, "tick": next(ticks)})
+        body = msgspec.json.encode(REPORT | {"host": host, "epoch": epoch, "tick": next(ticks)})
         reply = await desk(Request("POST", "/v1/report", body))
         assert reply is not None
         return "relayed" if reply.status == 200 else "sent" if b"n0" in reply.body else "next"
@@ -66,7 +61,7 @@
 )  # fmt: skip
 def test_malformed_reports_are_refused(change: dict) -> None:
     with pytest.raises(ValueError):
-        parse_report(msgspec.json.encode(RAW | change))
+        parse_report(msgspec.json.encode(REPORT | change))
 
 
 async def test_a_late_copy_tells_nothing_about_whom_a_worker_can_reach() -> None:
@@ -81,9 +76,9 @@
         return 200, b"{}"
 
     link.ask = relayed  # type: ignore[method-assign]
-    body = msgspec.json.encode(RAW | {"host": "i-1", "tick": 9})
+    body = msgspec.json.encode(REPORT | {"host": "i-1", "tick": 9})
     for _ in range(3):
         reply = await desk(Request("POST", "/v1/report", body))
         assert reply is not None and reply.status == 421, "a copy of what was sent to the leader"
-    newer = await desk(Request("POST", "/v1/report", msgspec.json.encode(RAW | {"host": "i-1", "tick": 10})))
+    newer = await desk(Request("POST", "/v1/report", msgspec.json.encode(REPORT | {"host": "i-1", "tick": 10})))
     assert newer is not None and newer.status == 200, "came back itself: relayed"
