--- a/ladderfield/jobs/accept.py
+++ b/ladderfield/jobs/accept.py
@@ -16,7 +16,7 @@
 import trio
 
 from ladderfield.http import encode
-from ladderfield.jobs.chains import Chains
+from ladderfield.jobs.dependencies import DependencyGraph
 from ladderfield.jobs.model import FINAL, FULL, JOB
 from ladderfield.settings import Settings
 from ladderfield.state import StateClient, StateServiceError, WriteRefusedError
@@ -56,7 +56,9 @@
 class Acceptor:
     """The one writer of a front door's submissions."""
 
-    def __init__(self, settings: Settings, client: StateClient, view: View, chains: Chains, wait_s: float) -> None:
+    def __init__(
+        self, settings: Settings, client: StateClient, view: View, chains: DependencyGraph, wait_s: float
+    ) -> None:
         self.client, self.view, self.chains, self.wait_s = client, view, chains, wait_s
         state = settings.cluster.state
         self.most_bytes = min(state.value_kb * 1024, TXN_BYTES) * FULL - FRAME
--- a/ladderfield/jobs/api.py
+++ b/ladderfield/jobs/api.py
@@ -13,7 +13,7 @@
 from ladderfield.http import Reply, Request
 from ladderfield.jobs.cancel import CancellationHandler
 from ladderfield.jobs.cancellations import Cancellations
-from ladderfield.jobs.chains import Chains
+from ladderfield.jobs.dependencies import DependencyGraph
 from ladderfield.jobs.lookup import JobLookup
 from ladderfield.jobs.responses import busy, wrong_method
 from ladderfield.jobs.submission import SubmissionHandler
@@ -38,16 +38,16 @@
         settings: Settings,
         client: StateClient,
         view: View,
-        chains: Chains,
+        dependencies: DependencyGraph,
         rollout: Rollout,
         cancellations: Cancellations,
         links: Mapping[str, PeerLink] | None = None,
     ) -> None:
         self.links = links or {}
         self.state_ok = True  # whether the state service serves us; kept by the controller's health check
-        self.lookup = JobLookup(view, chains)
-        self.submissions = SubmissionHandler(settings, client, view, chains, rollout, self.lookup)
-        self.cancellations = CancellationHandler(client, view, chains, self.lookup, cancellations)
+        self.lookup = JobLookup(view, dependencies)
+        self.submissions = SubmissionHandler(settings, client, view, dependencies, rollout, self.lookup)
+        self.cancellations = CancellationHandler(client, view, dependencies, self.lookup, cancellations)
         # Requests over this number are told at once to come back.
         self.most_requests = max(REQUESTS_LEAST, int(settings.cluster.quota.max_connections * REQUESTS_SHARE))
         self.requests = 0
--- a/ladderfield/jobs/cancel.py
+++ b/ladderfield/jobs/cancel.py
@@ -9,7 +9,7 @@
 
 from ladderfield.http import Reply
 from ladderfield.jobs.cancellations import Cancellations
-from ladderfield.jobs.chains import Chains
+from ladderfield.jobs.dependencies import DependencyGraph
 from ladderfield.jobs.lookup import JobLookup
 from ladderfield.jobs.model import CANCELLED, FINAL, valid_uid
 from ladderfield.jobs.responses import SUBMIT_S, USABLE_SHARE, busy, no_such_job
@@ -28,9 +28,14 @@
     """Puts cancellations on record."""
 
     def __init__(
-        self, client: StateClient, view: View, chains: Chains, lookup: JobLookup, cancellations: Cancellations
+        self,
+        client: StateClient,
+        view: View,
+        dependencies: DependencyGraph,
+        lookup: JobLookup,
+        cancellations: Cancellations,
     ) -> None:
-        self.client, self.view, self.chains = client, view, chains
+        self.client, self.view, self.dependencies = client, view, dependencies
         self.lookup, self.cancellations = lookup, cancellations
 
     async def cancel(self, uid: str) -> Reply:
@@ -41,7 +46,7 @@
         while trio.current_time() < until:
             if (final := self.lookup.final(uid)) is not None:
                 return final
-            if uid not in self.chains:
+            if uid not in self.dependencies:
                 if (unknown := await self._unknown(uid, until)) is not None:
                     return unknown
                 continue
--- a/ladderfield/jobs/lookup.py
+++ b/ladderfield/jobs/lookup.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ladderfield.http import Reply
-from ladderfield.jobs.chains import Chains
+from ladderfield.jobs.dependencies import DependencyGraph
 from ladderfield.jobs.model import CANCELLED, FINAL, page_key, valid_uid
 from ladderfield.jobs.responses import POLL_S, USABLE_SHARE, busy, no_such_job
 from ladderfield.view import View
@@ -12,8 +12,8 @@
 class JobLookup:
     """Answers what state jobs are in."""
 
-    def __init__(self, view: View, chains: Chains) -> None:
-        self.view, self.chains = view, chains
+    def __init__(self, view: View, dependencies: DependencyGraph) -> None:
+        self.view, self.dependencies = view, dependencies
 
     async def poll(self, uid: str) -> Reply:
         """The answer to a poll. Whatever is not final needs the proof that the view is fresh."""
@@ -28,7 +28,7 @@
     def final(self, uid: str) -> Reply | None:
         """The job's final state, or None if it has none in the view."""
         record = self.view.get(FINAL + uid)
-        if record is None and self.chains.cancelled(uid):
+        if record is None and self.dependencies.cancelled(uid):
             record = {"phase": CANCELLED}  # with another, for good: whatever it needs can never be done any more
         if record is None:
             return None
@@ -38,7 +38,7 @@
         """The job's state in the view, or None if it isn't there."""
         if (final := self.final(uid)) is not None:
             return final
-        if uid not in self.chains:
+        if uid not in self.dependencies:
             return None
         done, claimed = self._tasks(uid)
         running = len(claimed - done)
--- a/ladderfield/jobs/submission.py
+++ b/ladderfield/jobs/submission.py
@@ -11,7 +11,7 @@
 
 from ladderfield.http import Reply
 from ladderfield.jobs.accept import Acceptor, record_size
-from ladderfield.jobs.chains import Chains
+from ladderfield.jobs.dependencies import DependencyGraph
 from ladderfield.jobs.lookup import JobLookup
 from ladderfield.jobs.model import (
     CANCELLED,
@@ -37,12 +37,18 @@
     """Takes jobs, or says why not."""
 
     def __init__(
-        self, settings: Settings, client: StateClient, view: View, chains: Chains, rollout: Rollout, lookup: JobLookup
+        self,
+        settings: Settings,
+        client: StateClient,
+        view: View,
+        dependencies: DependencyGraph,
+        rollout: Rollout,
+        lookup: JobLookup,
     ) -> None:
-        self.view, self.chains, self.rollout, self.lookup = view, chains, rollout, lookup
+        self.view, self.dependencies, self.rollout, self.lookup = view, dependencies, rollout, lookup
         self.teams = {team.name: team for team in settings.cluster.teams}
         self.block = block_size(settings.cluster.state.value_kb)
-        self.acceptor = Acceptor(settings, client, view, chains, SUBMIT_S)
+        self.acceptor = Acceptor(settings, client, view, dependencies, SUBMIT_S)
         self._types: tuple[int, dict[str, MachineType]] = (-1, {})
 
     async def submit(self, body: bytes) -> Reply:
@@ -74,7 +80,7 @@
         kinds = self.types()
         why = (impossible(spec, kinds, self.teams) if kinds else "unknown types") or self._never_ready(spec)
         too_large = record_size(spec.uid, record) > self.acceptor.most_bytes
-        if spec.uid not in self.chains and why is None and not too_large:
+        if spec.uid not in self.dependencies and why is None and not too_large:
             return None
         # Known already, or to be refused: both need the proof that nothing newer says otherwise. Another controller,
         # or one with larger limits, may have accepted it, and an accepted job is never refused.
@@ -93,10 +99,10 @@
     def _never_ready(self, spec: JobSpec) -> str | None:
         """Why what the job waits for can never be done, as far as the view tells."""
         needs = spec.needs or ()
-        unknown = self.chains.unknown(needs)
+        unknown = self.dependencies.unknown(needs)
         if unknown is not None:
             return f"{unknown}, which it waits for, was never accepted"
-        endless = next((uid for uid in needs if self.chains.service(uid)), None)
+        endless = next((uid for uid in needs if self.dependencies.service(uid)), None)
         return None if endless is None else f"{endless}, which it waits for, is a service"
 
     async def _record(self, spec: JobSpec, record: dict[str, Any]) -> Reply:
@@ -132,5 +138,5 @@
                 await self.view.reach(written_at)
             if scope.cancelled_caught:
                 return busy(1)
-            phase = CANCELLED if self.chains.cancelled(spec.uid) else phase
+            phase = CANCELLED if self.dependencies.cancelled(spec.uid) else phase
         return Reply(201, {"uid": spec.uid, "phase": phase})
--- a/ladderfield/jobs/test_chains.py
+++ b/ladderfield/jobs/test_dependencies.py
@@ -5,7 +5,7 @@
 import itertools
 from typing import Any
 
-from ladderfield.jobs.chains import Chains
+from ladderfield.jobs.dependencies import DependencyGraph
 from ladderfield.testing import accepted, job
 from ladderfield.view import Change
 
@@ -17,7 +17,7 @@
 
     def __init__(self) -> None:
         self.data: dict[str, Any] = {}
-        self.chains = Chains(self.data.get)
+        self.chains = DependencyGraph(self.data.get)
 
     def put(self, key: str, value: Any) -> None:
         """A key changes, or (None) goes."""
--- a/ladderfield/jobs/test_needs.py
+++ b/ladderfield/jobs/test_needs.py
@@ -155,7 +155,9 @@
         api, service = await serving_jobs_api(monkeypatch, nursery)
         state = msgspec.structs.replace(settings().cluster.state, value_kb=2.0, txn_ops=5)
         small = msgspec.structs.replace(settings(), cluster=msgspec.structs.replace(settings().cluster, state=state))
-        api.submissions.acceptor = Acceptor(small, api.cancellations.client, api.lookup.view, api.lookup.chains, 5.0)
+        api.submissions.acceptor = Acceptor(
+            small, api.cancellations.client, api.lookup.view, api.lookup.dependencies, 5.0
+        )
         nursery.start_soon(api.submissions.acceptor.run)
         await put(service, ALL_NEW | {f"lf/f/req-{n:06d}": {"phase": "done"} for n in range(900, 930)})
         await trio.sleep(1)
--- a/ladderfield/leader/actor.py
+++ b/ladderfield/leader/actor.py
@@ -15,7 +15,7 @@
 import trio
 
 from ladderfield.fleet.cloud import Cloud
-from ladderfield.jobs.chains import Chains
+from ladderfield.jobs.dependencies import DependencyGraph
 from ladderfield.leader.cloud_tasks import CloudTasks
 from ladderfield.leader.desk import OVERDUE, Desk
 from ladderfield.leader.dispatcher import Dispatcher
@@ -57,7 +57,13 @@
     """One term in office."""
 
     def __init__(
-        self, settings: Settings, term: Term, client: StateClient, view: View, cloud: Cloud, chains: Chains
+        self,
+        settings: Settings,
+        term: Term,
+        client: StateClient,
+        view: View,
+        cloud: Cloud,
+        dependencies: DependencyGraph,
     ) -> None:
         self.term, self.client, self.view = term, client, view
         workers = settings.cluster.workers
@@ -67,7 +73,7 @@
         grace = max(grace_of(settings, view, member) for member in members)
         self.inbox_size = max(INBOX_LEAST, int(settings.cluster.quota.max_connections * INBOX_SHARE))
         self.send, self.inbox = trio.open_memory_channel[Message](self.inbox_size)
-        self.desk = Desk(settings, term.epoch, trio.current_time(), time.time(), grace, chains, term.before)
+        self.desk = Desk(settings, term.epoch, trio.current_time(), time.time(), grace, dependencies, term.before)
         self.ledger = Ledger(self.desk, term.stamp, settings.cluster.state.txn_ops)
         self.dispatcher = Dispatcher(settings, term, self.desk, self.send)
         self.desk.push = lambda machine: self.dispatcher.request(machine.host)
--- a/ladderfield/leader/desk.py
+++ b/ladderfield/leader/desk.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from ladderfield.jobs.chains import Chains
+from ladderfield.jobs.dependencies import DependencyGraph
 from ladderfield.jobs.model import (
     CANCELLED,
     DONE,
@@ -62,7 +62,7 @@
         now: float,
         wall: float,
         grace_s: float,
-        chains: Chains,
+        chains: DependencyGraph,
         before: Mapping[str, float] | None = None,
     ) -> None:
         workers = settings.cluster.workers
--- a/ladderfield/leader/test_size.py
+++ b/ladderfield/leader/test_size.py
@@ -6,7 +6,7 @@
 import pytest
 
 from ladderfield.fleet.cloud import Cloud
-from ladderfield.jobs.chains import Chains
+from ladderfield.jobs.dependencies import DependencyGraph
 from ladderfield.leader.actor import Leader
 from ladderfield.leadership import Term
 from ladderfield.peers import back_most
@@ -77,7 +77,7 @@
     own = msgspec.structs.replace(own, cluster=msgspec.structs.replace(own.cluster, quota=quota))
     client = StateClient(own)
     term = Term(7, 3, 1, 0.0, 2.0, 17.0, 0.0)
-    leader = Leader(own, term, client, View(client, own), Cloud(own), Chains(lambda key: None))
+    leader = Leader(own, term, client, View(client, own), Cloud(own), DependencyGraph(lambda key: None))
     front, back = int(sockets * USERS_SHARE), back_most(sockets)
     assert machines + 100 <= front, "workers, and users beside them"
     assert back // peers >= 16, "relays"
--- a/ladderfield/leader/test_unheard.py
+++ b/ladderfield/leader/test_unheard.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ladderfield.fleet.cloud import Cloud
-from ladderfield.jobs.chains import Chains
+from ladderfield.jobs.dependencies import DependencyGraph
 from ladderfield.leader.actor import Leader
 from ladderfield.leader.desk import Desk
 from ladderfield.leader.messages import OrdersAnswered
@@ -152,7 +152,7 @@
 
 def test_a_zone_that_an_earlier_leader_may_hold_is_given_its_time() -> None:
     """Grown troubles: the zone was cut off with its leader, and two takeovers later its machines were deleted."""
-    one = Desk(settings(), EPOCH_NOW, 0.0, 1000.0, 36.0, Chains(lambda key: None), {"n1": 1020.0})
+    one = Desk(settings(), EPOCH_NOW, 0.0, 1000.0, 36.0, DependencyGraph(lambda key: None), {"n1": 1020.0})
     assert one.detector.zones_before == {"zb": 20.0}
     for host, zone in (("a", "za"), ("b", "zb"), ("c", "za"), ("d", "za"), ("e", "za")):
         machine = one.machines[host] = Machine(host, "10.9.0.1:90", UNKNOWN, zone, False, 0.0)
@@ -170,7 +170,12 @@
     own = settings()
     client = StateClient(own)
     leader = Leader(
-        own, Term(EPOCH_NOW, 3, 1, 0.0, 2.0, 17.0, 0.0), client, View(client, own), Cloud(own), Chains(lambda key: None)
+        own,
+        Term(EPOCH_NOW, 3, 1, 0.0, 2.0, 17.0, 0.0),
+        client,
+        View(client, own),
+        Cloud(own),
+        DependencyGraph(lambda key: None),
     )
     machine = leader.desk.machines["m"] = Machine("m", "10.9.0.1:90", UNKNOWN, "za", False, 0.0)
     for heard_at, relayed, deaf_then in ((80.0, False, False), (100.0, True, False), (100.0, False, True)):
--- a/ladderfield/leader/waiting.py
+++ b/ladderfield/leader/waiting.py
@@ -1,6 +1,6 @@
 """Waiting jobs on the leader's tables: when one is ready, when it is cancelled with another, how urgent each is.
 
-What is so follows from the records and is asked of ``Chains``; here the tables are kept in step with it.
+What is so follows from the records and is asked of ``DependencyGraph``; here the tables are kept in step with it.
 """
 
 from __future__ import annotations
@@ -8,7 +8,7 @@
 import logging
 from typing import TYPE_CHECKING
 
-from ladderfield.jobs.chains import Chains
+from ladderfield.jobs.dependencies import DependencyGraph
 from ladderfield.jobs.model import CANCELLED
 from ladderfield.queues.work import Job
 
@@ -21,7 +21,7 @@
 class Waiting:
     """Ties accepted jobs to each other, and lets them go."""
 
-    def __init__(self, desk: Desk, chains: Chains) -> None:
+    def __init__(self, desk: Desk, chains: DependencyGraph) -> None:
         self.desk, self.chains = desk, chains
 
     def tie(self, job: Job) -> None:
--- a/ladderfield/server.py
+++ b/ladderfield/server.py
@@ -12,7 +12,7 @@
 from ladderfield.http import Reply, Request, Server
 from ladderfield.jobs.api import JobsApi
 from ladderfield.jobs.cancellations import Cancellations
-from ladderfield.jobs.chains import Chains
+from ladderfield.jobs.dependencies import DependencyGraph
 from ladderfield.jobs.model import FULL, TYPES, parse_types, types_record
 from ladderfield.jobs.responses import SUBMIT_S
 from ladderfield.leader.actor import Leader
@@ -43,7 +43,7 @@
         self.leadership = Leadership(settings, self.client, self.view)
         at_once = max(4, back_most(settings.cluster.quota.max_connections) // max(1, len(settings.peers)))
         self.links = {peer.member: PeerLink(peer, at_once) for peer in settings.peers}
-        self.chains = Chains(self.view.get)
+        self.chains = DependencyGraph(self.view.get)
         self.cancellations = Cancellations()
         self.view.followers += [self.chains.take, self.cancellations.take]
         self.rollout = Rollout(settings, self.client, self.view)
--- a/ladderfield/test_leadership.py
+++ b/ladderfield/test_leadership.py
@@ -10,7 +10,7 @@
 import trio
 
 from ladderfield.fleet.cloud import Cloud
-from ladderfield.jobs.chains import Chains
+from ladderfield.jobs.dependencies import DependencyGraph
 from ladderfield.leader.actor import Leader
 from ladderfield.leader.messages import ReportReceived
 from ladderfield.leadership import EPOCH, Leadership, Term
@@ -54,7 +54,7 @@
         client,
         View(client, settings()),
         Cloud(settings()),
-        Chains(lambda key: None),
+        DependencyGraph(lambda key: None),
     )
     leader.dispatcher.dispatch = lambda now: None  # type: ignore[method-assign]
     leader.desk.load({"lf/types": (TYPES, 1), EPOCH: ({"epoch": 7}, 3)}, 0.0)
--- a/ladderfield/testing/jobs_api.py
+++ b/ladderfield/testing/jobs_api.py
@@ -7,7 +7,7 @@
 
 from ladderfield.jobs.api import JobsApi
 from ladderfield.jobs.cancellations import Cancellations
-from ladderfield.jobs.chains import Chains
+from ladderfield.jobs.dependencies import DependencyGraph
 from ladderfield.rollout import Rollout
 from ladderfield.state import StateClient
 from ladderfield.testing.network import Network
@@ -26,7 +26,7 @@
     view = View(client, settings())
     nursery.start_soon(view.run)
     nursery.start_soon(view.run_reads)
-    chains, rollout = Chains(view.get), Rollout(settings(), client, view)
+    chains, rollout = DependencyGraph(view.get), Rollout(settings(), client, view)
     view.followers.append(chains.take)
     api = JobsApi(settings(), client, view, chains, rollout, Cancellations())
     nursery.start_soon(api.submissions.acceptor.run)
--- a/ladderfield/testing/leader.py
+++ b/ladderfield/testing/leader.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from ladderfield.fleet.cloud import Cloud
-from ladderfield.jobs.chains import Chains
+from ladderfield.jobs.dependencies import DependencyGraph
 from ladderfield.jobs.model import TYPES as TYPES_KEY
 from ladderfield.leader.actor import Leader
 from ladderfield.leader.desk import Desk
@@ -29,7 +29,7 @@
     def __init__(self, data: dict[str, Any] | None = None) -> None:
         self.pushed: list[str] = []
         self.on_record: dict[str, Any] = {TYPES_KEY: (TYPES, 1)} | (data or {})
-        self.chains = Chains(lambda key: self.on_record.get(key, (None, 0))[0])
+        self.chains = DependencyGraph(lambda key: self.on_record.get(key, (None, 0))[0])
         self.desk = Desk(settings(), EPOCH_NOW, 0.0, 1000.0, 36.0, self.chains)
         self.desk.push = lambda machine: self.pushed.append(machine.host)
         for key, (value, stamp) in self.on_record.items():
@@ -123,7 +123,9 @@
     """A leader of epoch 7 with one recorded claim, not launched yet, on machine m."""
     client = StateClient(settings())
     term = Term(7, 3, 1, 0.0, 2.0, 17.0, 0.0)
-    leader = Leader(settings(), term, client, View(client, settings()), Cloud(settings()), Chains(lambda key: None))
+    leader = Leader(
+        settings(), term, client, View(client, settings()), Cloud(settings()), DependencyGraph(lambda key: None)
+    )
     leader.desk.load({"lf/types": (TYPES, 1), EPOCH: ({"epoch": 7}, 3)}, 0.0)
     leader.desk.take_changes([Change("lf/j/req-000001", accepted(job(rungs=1)), 5)], 0.0)
     leader.desk.sessions.report(session_report(1, 1), 0.1, answering=True)
