--- a/ladderfield/vouching.py
+++ b/ladderfield/cancellation_sync.py
@@ -1,4 +1,4 @@
-"""How a leader that the state service does not serve keeps track of cancellations: the other controllers vouch.
+"""How a leader that the state service does not serve learns of cancellations: from the other controllers.
 
 Whichever controller a user asks confirms a cancellation, and the leader sees it in the state service. If that refuses
 the leader alone, or is down for everybody right after, the leader would go on to answer its workers and keep tasks
@@ -12,7 +12,7 @@
 
 Every confirmation before the question is known to the asker if each of the other controllers answers, and each of them
 either began before the moment up to which the asker knew everything already, so that what it lists is all that it has
-confirmed since; a controller that restarted later vouches for nothing of its earlier process. Or any of them has proven
+confirmed since; a controller that restarted later can say nothing of its earlier process. Or any of them has proven
 its view fresh lately: then it knows what was on record then, whoever confirmed it.
 """
 
@@ -28,8 +28,8 @@
 from ladderfield.jobs.cancellations import Cancellations
 from ladderfield.jobs.model import valid_uid
 from ladderfield.leadership import Leadership, Term
-from ladderfield.peers import BODY_MOST, CANCELLED, VOUCH, PeerLink
-from ladderfield.rollout import VOUCHING, level_of
+from ladderfield.peers import BODY_MOST, CANCELLATION_NOTICE, CANCELLATION_QUERY, PeerLink
+from ladderfield.rollout import CANCELLATION_SYNC, level_of
 from ladderfield.view import View
 from ladderfield.workers.machine import CLOCKS
 
@@ -40,29 +40,29 @@
 NOTICES = 64  # confirmed at once; what is more the leader sees on record, or asks for
 
 
-class VouchError(ValueError):
-    """Not what another controller says."""
+class MalformedAnswerError(ValueError):
+    """Not what a controller of this protocol says."""
 
 
 class Answer:
-    """What another controller vouches for, on our clock."""
+    """What another controller knows for sure, on our clock."""
 
     def __init__(self, body: bytes, asked_at: float, now: float) -> None:
         if len(body) < ANSWER.size:
-            raise VouchError(f"{len(body)} bytes are no answer")
+            raise MalformedAnswerError(f"{len(body)} bytes are no answer")
         self.epoch, lived_s, proven_s = ANSWER.unpack_from(body)
         if not (lived_s >= 0 and proven_s >= 0 and math.isfinite(lived_s)):
-            raise VouchError("an age is no time")
+            raise MalformedAnswerError("an age is no time")
         self.began_at = now - lived_s / CLOCKS  # at the latest
         self.proven_at = asked_at - proven_s * CLOCKS  # at the earliest
         self.uids = parse_uids(body[ANSWER.size :])
 
 
 def parse_uids(body: bytes) -> list[str]:
-    """The jobs named, or VouchError."""
+    """The jobs named, or MalformedAnswerError."""
     uids = body.decode("ascii", errors="replace").split()
     if not all(valid_uid(uid) for uid in uids):
-        raise VouchError("not the ids of jobs")
+        raise MalformedAnswerError("not the ids of jobs")
     return uids
 
 
@@ -78,7 +78,7 @@
     return known_at
 
 
-class Vouching:
+class CancellationSync:
     """Asks and answers, and tells the leader of what was just confirmed here."""
 
     def __init__(
@@ -91,7 +91,7 @@
         cancellations.told = self._confirmed
 
     def answer(self, body: bytes) -> tuple[int, bytes]:
-        """Vouch for what is known here."""
+        """The answer to a leader's question: what is known here."""
         if len(body) != QUESTION.size:
             return 400, b""
         _, ledger = QUESTION.unpack(body)
@@ -109,13 +109,13 @@
         answers: dict[str, Answer | None] = dict.fromkeys(self.links)
 
         async def one(member: str, link: PeerLink) -> None:
-            if level_of(self.view, member) < VOUCHING:
+            if level_of(self.view, member) < CANCELLATION_SYNC:
                 return  # it would close the connection
-            reply = await link.ask(VOUCH, QUESTION.pack(term.epoch, ledger), timeout)
+            reply = await link.ask(CANCELLATION_QUERY, QUESTION.pack(term.epoch, ledger), timeout)
             if reply is not None and reply[0] == 200:
                 try:
                     answers[member] = Answer(reply[1], asked_at, trio.current_time())
-                except VouchError as error:
+                except MalformedAnswerError as error:
                     self._warn(member, error)
 
         async with trio.open_nursery() as nursery:
@@ -125,7 +125,7 @@
         uids.update(uid for answer in answers.values() if answer is not None for uid in answer.uids)
         return sorted(uids), known_until(term, asked_at, answers.values())
 
-    def _warn(self, member: str, error: VouchError) -> None:
+    def _warn(self, member: str, error: MalformedAnswerError) -> None:
         if not self._warned:
             self._warned = True
             log.warning("%s: a malformed answer over back: %s", member, error)
@@ -147,5 +147,5 @@
                 continue
             member = self.leadership.known_leader() or ""
             link = self.links.get(member)
-            if link is not None and link.reachable and level_of(self.view, member) >= VOUCHING:
-                await link.ask(CANCELLED, " ".join(uids).encode(), timeout)
+            if link is not None and link.reachable and level_of(self.view, member) >= CANCELLATION_SYNC:
+                await link.ask(CANCELLATION_NOTICE, " ".join(uids).encode(), timeout)
--- a/ladderfield/leadership.py
+++ b/ladderfield/leadership.py
@@ -15,7 +15,7 @@
 
 from ladderfield.http import encode
 from ladderfield.jobs.model import FULL
-from ladderfield.rollout import VOUCHING, level_of
+from ladderfield.rollout import CANCELLATION_SYNC, level_of
 from ladderfield.settings import Settings
 from ladderfield.state import StateClient, StateServiceError
 from ladderfield.view import View
@@ -48,7 +48,7 @@
 
 def grace_of(settings: Settings, view: View, member: str) -> float:
     """The longest that a controller may answer reports after another was elected."""
-    if level_of(view, member) >= VOUCHING:
+    if level_of(view, member) >= CANCELLATION_SYNC:
         return grace_s(settings)
     return GRACE_BEFORE * settings.cluster.workers.lease_s
 
--- a/ladderfield/rollout.py
+++ b/ladderfield/rollout.py
@@ -20,8 +20,8 @@
 
 VERSION = "lf/v/"  # a controller, and what its program understands
 WAITING = 1  # jobs that wait for others
-VOUCHING = 2  # questions about cancellations over ``back``, and the grace period that they allow
-LEVEL = VOUCHING
+CANCELLATION_SYNC = 2  # questions about cancellations over ``back``, and the grace period that they allow
+LEVEL = CANCELLATION_SYNC
 
 
 def level_of(view: View, member: str) -> int:
--- a/ladderfield/server.py
+++ b/ladderfield/server.py
@@ -8,6 +8,7 @@
 
 import trio
 
+from ladderfield.cancellation_sync import CancellationSync, MalformedAnswerError, parse_uids
 from ladderfield.fleet.cloud import Cloud, CloudTrouble
 from ladderfield.http import Reply, Request, Server
 from ladderfield.jobs.api import JobsApi
@@ -18,12 +19,20 @@
 from ladderfield.leader.actor import Leader
 from ladderfield.leader.messages import CancellationsLearned, NoOtherLeader
 from ladderfield.leadership import Leadership, Term
-from ladderfield.peers import CANCELLED, HEALTH, RELAY, SELF, VOUCH, BackServer, PeerLink, back_most
+from ladderfield.peers import (
+    CANCELLATION_NOTICE,
+    CANCELLATION_QUERY,
+    HEALTH,
+    RELAY,
+    SELF,
+    BackServer,
+    PeerLink,
+    back_most,
+)
 from ladderfield.rollout import Rollout
 from ladderfield.settings import Settings, address
 from ladderfield.state import StateClient, StateServiceError
 from ladderfield.view import View
-from ladderfield.vouching import VouchError, Vouching, parse_uids
 from ladderfield.workers.report_handler import ReportHandler
 
 log = logging.getLogger(__name__)
@@ -51,8 +60,8 @@
             settings, self.client, self.view, self.chains, self.rollout, self.cancellations, self.links
         )
         self.reports = ReportHandler(settings, self.leadership, self.links)
-        self.vouching = Vouching(self.leadership, self.view, self.cancellations, self.links)
-        self.vouching.deliver = lambda uids: self.reports.tell_leader(CancellationsLearned(uids))
+        self.cancellation_sync = CancellationSync(self.leadership, self.view, self.cancellations, self.links)
+        self.cancellation_sync.deliver = lambda uids: self.reports.tell_leader(CancellationsLearned(uids))
 
     async def handle(self, request: Request) -> Reply:
         """Any request to ``bind``."""
@@ -69,12 +78,12 @@
             leads = self.leadership.term is not None or self.reports.inbox is not None
             epoch, leader = self.leadership.latest()
             return (200 if self.jobs_api.state_ok else 503), SELF.pack(leads, epoch) + leader.encode()
-        if kind == VOUCH:
-            return self.vouching.answer(body)
-        if kind == CANCELLED:
+        if kind == CANCELLATION_QUERY:
+            return self.cancellation_sync.answer(body)
+        if kind == CANCELLATION_NOTICE:
             try:
                 self.reports.tell_leader(CancellationsLearned(parse_uids(body)))
-            except VouchError:
+            except MalformedAnswerError:
                 return 400, b""
             return 200, b""
         return 400, b""
@@ -94,7 +103,7 @@
                 if self.jobs_api.state_ok:
                     term.knows(self.view.proven_at)
                 else:
-                    self.reports.tell_leader(CancellationsLearned(*await self.vouching.ask(term, pause)))
+                    self.reports.tell_leader(CancellationsLearned(*await self.cancellation_sync.ask(term, pause)))
             if (
                 term is not None
                 and term is self.leadership.term
@@ -145,7 +154,7 @@
                 self.rollout.run,
                 self.run_types,
                 self.run_health,
-                partial(self.vouching.run_notices, self.settings.cluster.workers.report_s / 2),
+                partial(self.cancellation_sync.run_notices, self.settings.cluster.workers.report_s / 2),
             ):
                 nursery.start_soon(self._keep, actor)
 
--- a/ladderfield/test_grace.py
+++ b/ladderfield/test_grace.py
@@ -14,12 +14,12 @@
 import pytest
 import trio
 
+from ladderfield.cancellation_sync import ANSWER, QUESTION, Answer, MalformedAnswerError, known_until
 from ladderfield.leadership import Term, grace_s
-from ladderfield.peers import CANCELLED, VOUCH
-from ladderfield.rollout import VERSION, VOUCHING
+from ladderfield.peers import CANCELLATION_NOTICE, CANCELLATION_QUERY
+from ladderfield.rollout import CANCELLATION_SYNC, VERSION
 from ladderfield.testing import SETTINGS, settings
 from ladderfield.testing.cluster import Cluster, cluster, refuse, silent_peer
-from ladderfield.vouching import ANSWER, QUESTION, Answer, VouchError, known_until
 
 CANCEL_S = SETTINGS["cluster"]["workers"]["cancel_s"]
 LEASE_S = SETTINGS["cluster"]["workers"]["lease_s"]
@@ -97,7 +97,7 @@
         await trio.sleep(grace_s(settings()) - 4)
         assert len(left(whole, steady)) == 2
         await trio.sleep_until(begun + grace_s(settings()) + LEASE_S + 3)
-        assert not whole.on(), "a controller that restarted vouches for nothing from before"
+        assert not whole.on(), "a controller that restarted knows nothing for sure from before"
         whole.state.down = False
         await trio.sleep(30)
         assert len(left(whole, steady)) == 2 and len(whole.starts(steady)) == 4
@@ -122,7 +122,7 @@
         first = whole.leader()
         other = next(n for n in whole.controllers if n != first)
         view = whole.controllers[first].view
-        view.data[f"{VERSION}n{other}"] = ({"level": VOUCHING - 1}, 1)
+        view.data[f"{VERSION}n{other}"] = ({"level": CANCELLATION_SYNC - 1}, 1)
         asked: list[int] = []
         link = whole.controllers[first].links[f"n{other}"]
         real = link.ask
@@ -136,7 +136,7 @@
         confirmed = await cancel(whole, other, doomed)
         whole.state.down = True
         await trio.sleep_until(confirmed + CANCEL_S)
-        assert VOUCH not in asked and CANCELLED not in asked
+        assert CANCELLATION_QUERY not in asked and CANCELLATION_NOTICE not in asked
         assert not left(whole, doomed)
 
 
@@ -146,7 +146,7 @@
         await replicas(whole)
         first = whole.leader()
         other = next(n for n in whole.controllers if n != first)
-        await whole.controllers[other].links[f"n{first}"].ask(CANCELLED, b"req-000003", 1.0)
+        await whole.controllers[other].links[f"n{first}"].ask(CANCELLATION_NOTICE, b"req-000003", 1.0)
         whole.state.watch_lag = 0.5
         await whole.submit(other, uid="req-000003", rungs=4)
         await trio.sleep(5)
@@ -197,7 +197,7 @@
 
 
 def answer(lived_s: float = 100.0, proven_s: float = math.inf, epoch: int = 3, uids: bytes = b"") -> Answer:
-    """What a controller vouches for when it is asked at 50 and answers at 51."""
+    """What a controller knows when it is asked at 50 and answers at 51."""
     return Answer(ANSWER.pack(epoch, lived_s, proven_s) + uids, 50.0, 51.0)
 
 
@@ -235,7 +235,7 @@
      ANSWER.pack(1, 1.0, 1.0) + b"\xff\xfe"],
 )  # fmt: skip
 def test_a_strange_answer_vouches_for_nothing(body: bytes) -> None:
-    with pytest.raises(VouchError):
+    with pytest.raises(MalformedAnswerError):
         Answer(body, 50.0, 51.0)
 
 
@@ -243,9 +243,9 @@
     async with cluster(monkeypatch) as whole:
         one = whole.controllers[whole.leader()]
         for body in (b"", b"x" * (QUESTION.size + 1), b"\xff" * 70):
-            assert (await one.handle_back(VOUCH, 0, body))[0] == 400
+            assert (await one.handle_back(CANCELLATION_QUERY, 0, body))[0] == 400
         for body in (b"req-1 \xff", b"lf/f/req-000001", b"req-"):
-            assert (await one.handle_back(CANCELLED, 0, body))[0] == 400
-        status, answered = await one.handle_back(VOUCH, 0, QUESTION.pack(2**64 - 1, 2**64 - 1))
+            assert (await one.handle_back(CANCELLATION_NOTICE, 0, body))[0] == 400
+        status, answered = await one.handle_back(CANCELLATION_QUERY, 0, QUESTION.pack(2**64 - 1, 2**64 - 1))
         assert status == 200 and len(answered) == ANSWER.size
         assert whole.leader() in whole.controllers
--- a/ladderfield/test_wire_format.py
+++ b/ladderfield/test_wire_format.py
@@ -15,6 +15,7 @@
 import pytest
 import trio
 
+from ladderfield.cancellation_sync import CancellationSync
 from ladderfield.fleet.cloud import Cloud
 from ladderfield.http import Client, Reply, Request, encode
 from ladderfield.jobs.api import JobsApi
@@ -23,7 +24,7 @@
 from ladderfield.leader.actor import Leader
 from ladderfield.leader.messages import ReportReceived
 from ladderfield.leadership import EPOCH, LEADER, Leadership, Term
-from ladderfield.peers import ANSWER, CANCELLED, HEALTH, RELAY, SELF, VOUCH, PeerLink, pack
+from ladderfield.peers import ANSWER, CANCELLATION_NOTICE, CANCELLATION_QUERY, HEALTH, RELAY, SELF, PeerLink, pack
 from ladderfield.rollout import VERSION
 from ladderfield.settings import Peer
 from ladderfield.state import StateClient
@@ -31,7 +32,6 @@
 from ladderfield.testing.jobs_api import serving_jobs_api
 from ladderfield.testing.leader import DeskHarness, claimed_leader, launched, rung
 from ladderfield.view import View
-from ladderfield.vouching import Vouching
 from ladderfield.workers.report_handler import ReportHandler
 
 SAMPLES = Path(__file__).parent / "testdata" / "wire_format.txt"
@@ -230,7 +230,13 @@
 
 
 async def test_frames_between_controllers(monkeypatch: pytest.MonkeyPatch) -> None:
-    names = {"relay": RELAY, "answer": ANSWER, "health": HEALTH, "vouch": VOUCH, "cancelled": CANCELLED}
+    names = {
+        "relay": RELAY,
+        "answer": ANSWER,
+        "health": HEALTH,
+        "vouch": CANCELLATION_QUERY,
+        "cancelled": CANCELLATION_NOTICE,
+    }
     samples = {name: pack(kind, 200, b"body") for name, kind in names.items()}
     samples["self"] = SELF.pack(True, 6) + b"n1"
     own = settings()
@@ -240,21 +246,21 @@
     view.data |= {LEADER: ({"member": "n1"}, 2), EPOCH: ({"epoch": 6}, 3)}
     view.synced, view.ledger, view.proven_at = True, 17, trio.current_time()
     cancellations, link = Cancellations(), PeerLink(Peer("n1", "10.0.0.2:81"))
-    vouching = Vouching(Leadership(own, client, view), view, cancellations, {"n1": link})
+    sync = CancellationSync(Leadership(own, client, view), view, cancellations, {"n1": link})
 
     async def ask(kind: int, body: bytes, timeout: float, status: int = 0) -> tuple[int, bytes] | None:
         samples[f"asked_{kind}"] = body
         return None
 
     monkeypatch.setattr(link, "ask", ask)
-    await vouching.ask(Term(6, 3, 1, 0.0, 2.0, 17.0, 0.0), 1.0)
+    await sync.ask(Term(6, 3, 1, 0.0, 2.0, 17.0, 0.0), 1.0)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(vouching.run_notices, 1.0)
+        nursery.start_soon(sync.run_notices, 1.0)
         cancellations.confirmed("req-000001", 18)
         cancellations.confirmed("req-000002", 19)
         await trio.sleep(1.5)
         nursery.cancel_scope.cancel()
-    status, body = vouching.answer(samples[f"asked_{VOUCH}"])
+    status, body = sync.answer(samples[f"asked_{CANCELLATION_QUERY}"])
     samples["vouched"] = f"{status} ".encode() + body
     assert_recorded("frame", samples)
 
