--- a/ladderfield/leader/ledger.py
+++ b/ladderfield/leader/ledger.py
@@ -22,7 +22,7 @@
 LEAST_BYTES = 512  # what a page may hold however often the state service refuses
 
 
-class Txn:
+class Transaction:
     """One transaction, and what it will have recorded."""
 
     __slots__ = ("deletes", "ended", "finals", "guards", "most", "moved", "pages", "puts", "size")
@@ -55,7 +55,7 @@
     def __init__(self, desk: Desk, epoch_stamp: int, txn_ops: int) -> None:
         self.desk, self.epoch_stamp, self.most = desk, epoch_stamp, txn_ops
 
-    def collect(self, finished_too: bool, most: int | None = None) -> Txn | None:
+    def collect(self, finished_too: bool, most: int | None = None) -> Transaction | None:
         """The next transaction, of at most so many changes, or None if there is nothing to record.
 
         Jobs that are done go first: they are few, and a user, or the next job of a chain, waits for them. Then come new
@@ -66,7 +66,7 @@
         desk = self.desk
         if not (finished_too or desk.unrecorded or desk.complete or desk.pages.owing):
             return None
-        txn = Txn(self.epoch_stamp, max(1, min(most or self.most, self.most)))
+        txn = Transaction(self.epoch_stamp, max(1, min(most or self.most, self.most)))
         for page in list(desk.pages.owing):
             self._write(txn, page)
         if desk.pages.owing:
@@ -84,7 +84,7 @@
             self._clear(txn)
         return txn if txn.ops else None
 
-    def _clear(self, txn: Txn) -> None:
+    def _clear(self, txn: Transaction) -> None:
         """What may wait until there is nothing else to write."""
         desk = self.desk
         for job in list(desk.orphaned)[: txn.left]:
@@ -101,13 +101,13 @@
             self._move(txn)
 
     @staticmethod
-    def _decide(txn: Txn, job: Job, value: dict[str, Any]) -> None:
+    def _decide(txn: Transaction, job: Job, value: dict[str, Any]) -> None:
         """A job's final state: only where there is none yet."""
         txn.guards[FINAL + job.uid] = 0
         txn.puts[FINAL + job.uid] = value
         txn.finals[job] = value["phase"]
 
-    def _fill(self, txn: Txn, ends: dict[Job, set[int]]) -> None:
+    def _fill(self, txn: Transaction, ends: dict[Job, set[int]]) -> None:
         """Put new claims and ends of tasks on as few pages as they fit."""
         pages = self.desk.pages
         claims = list(self.desk.unrecorded)[::-1]  # the last of the list is the oldest
@@ -130,7 +130,7 @@
                     self.desk.unsettled.pop(job, None)
             self._write(txn, page)
 
-    def _move(self, txn: Txn) -> None:
+    def _move(self, txn: Transaction) -> None:
         """Repeat on a small page what is left of one that is too large to be written.
 
         There it would stay for as long as anything of it lives, and be read back by every successor. What goes on for
@@ -161,7 +161,7 @@
         self._write(txn, page)
         assert page in txn.pages, "what moved stands nowhere else once the large page is written"
 
-    def _write(self, txn: Txn, page: Page) -> None:
+    def _write(self, txn: Transaction, page: Page) -> None:
         pages = self.desk.pages
         if page in txn.pages or txn.left < 1 or txn.size + pages.most > BYTES:
             return
@@ -173,7 +173,7 @@
         pages.dirty.discard(page)
         pages.owing.discard(page)
 
-    def applied(self, txn: Txn, ledger: int, now: float) -> None:
+    def applied(self, txn: Transaction, ledger: int, now: float) -> None:
         """The transaction is on record."""
         desk = self.desk
         new = sum(not claim.recorded for claims, _ in txn.pages.values() for claim in claims)
@@ -197,7 +197,7 @@
         for record in txn.ended:
             desk.spent.pop(record, None)
 
-    def restamp(self, txn: Txn, stamps: dict[str, int]) -> None:
+    def restamp(self, txn: Transaction, stamps: dict[str, int]) -> None:
         """Take the versions on record and write again, with what is known now.
 
         Guards failed because an earlier copy of the transaction was applied after all.
@@ -216,7 +216,7 @@
             if record.stamp == 0:
                 self.desk.spent.pop(record, None)
 
-    def refused(self, txn: Txn) -> None:
+    def refused(self, txn: Transaction) -> None:
         """Put together anew, and smaller, what the state service will never take.
 
         Its limits must be smaller than we were told. Nothing of the transaction is on record.
--- a/ladderfield/leader/messages.py
+++ b/ladderfield/leader/messages.py
@@ -10,7 +10,7 @@
 
 from ladderfield.fleet.cloud import Listed
 from ladderfield.fleet.plan import Offer
-from ladderfield.leader.ledger import Txn
+from ladderfield.leader.ledger import Transaction
 from ladderfield.state import Outcome
 from ladderfield.view import Change
 from ladderfield.workers.report import Report
@@ -60,7 +60,7 @@
     ``stamps`` has what is on record where guards failed. No outcome: it was refused for good.
     """
 
-    txn: Txn
+    txn: Transaction
     outcome: Outcome | None
     stamps: dict[str, int]
 
--- a/ladderfield/leader/test_limits.py
+++ b/ladderfield/leader/test_limits.py
@@ -9,7 +9,7 @@
 
 from ladderfield.http import encode
 from ladderfield.jobs.model import FULL, parse_types, types_record
-from ladderfield.leader.ledger import Ledger, Txn
+from ladderfield.leader.ledger import Ledger, Transaction
 from ladderfield.leader.pages import encoded_size
 from ladderfield.settings import StateLimits
 from ladderfield.testing import TYPES, accepted, job
@@ -43,7 +43,7 @@
     return ops
 
 
-def check(txn: Txn) -> None:
+def check(txn: Transaction) -> None:
     """A transaction as the protocol allows it."""
     assert 0 < txn.ops <= OPS and len(txn.guards) <= 4 * OPS
     assert all(len(encode(value)) <= LIMIT for value in txn.puts.values())
--- a/ladderfield/leader/writer.py
+++ b/ladderfield/leader/writer.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from ladderfield.leader.ledger import Txn
+from ladderfield.leader.ledger import Transaction
 from ladderfield.leader.messages import Message, TransactionAnswered, WriterReady
 from ladderfield.leadership import EPOCH
 from ladderfield.settings import Settings
@@ -29,9 +29,9 @@
         self.report_s = settings.cluster.workers.report_s
         self.busy = False  # from a transaction's submission until the next one may be put together
         self._begin_with = max(LEAST_WRITES, LEAST_SHARE * settings.cluster.state.txn_ops)
-        self._submitted, self._transactions = trio.open_memory_channel[Txn](1)
+        self._submitted, self._transactions = trio.open_memory_channel[Transaction](1)
 
-    def submit(self, txn: Txn) -> None:
+    def submit(self, txn: Transaction) -> None:
         """Take a transaction; only while the writer is not busy."""
         self.busy = True
         self._submitted.send_nowait(txn)
@@ -44,7 +44,7 @@
             await self.client.leader_writes.ready(self._begin_with)
             await self.inbox.send(WriterReady())
 
-    async def _write(self, txn: Txn) -> TransactionAnswered:
+    async def _write(self, txn: Transaction) -> TransactionAnswered:
         """Repeat a transaction until it is answered or refused for good."""
         stamps: dict[str, int] = {}
         outcome: Outcome | None = None
--- a/ladderfield/test_documentation.py
+++ b/ladderfield/test_documentation.py
@@ -88,6 +88,12 @@
     return re.findall(r"`([^`]+)`", text)
 
 
+def test_every_module_that_the_page_names_exists() -> None:
+    paths = {span for span in code_spans(DESIGN.read_text(encoding="utf-8")) if span.endswith(".py")}
+    assert len(paths) >= 20
+    assert {path for path in paths if not (PACKAGE / path).exists()} == set()
+
+
 def test_the_table_of_meetings_is_read() -> None:
     assert len(rows()) >= 27
 
--- a/ladderfield/workers/test_old_messages.py
+++ b/ladderfield/workers/test_old_messages.py
@@ -8,7 +8,7 @@
 import pytest
 import trio
 
-from ladderfield.testing import Worker, accepted, job
+from ladderfield.testing import StateService, Worker, accepted, job
 from ladderfield.testing.cluster import Cluster, cluster
 from ladderfield.testing.consistency import ConsistencyChecker
 from ladderfield.testing.leader import ABOUT, EPOCH_NOW, DeskHarness, rung
@@ -33,6 +33,40 @@
     raise AssertionError(f"{verb} {uid}: {checker.seen.get(uid)}")
 
 
+class Unanswered:
+    """Transactions of one writer that are not answered: carried out after newer ones, or at once."""
+
+    def __init__(self, state: StateService, writer: str, late: bool) -> None:
+        self.state, self.writer = state, writer
+        self.most = self.left = 1 if writer == "elections" else 3
+        if late:
+            state.keeps = self._is_lost
+        else:
+            state.answer_s = lambda keys: math.inf if self._is_lost(keys) else 0.0
+
+    def _is_lost(self, keys: list[str]) -> bool:
+        found = self.left > 0 and any(key.startswith(WRITERS[self.writer]) for key in keys)
+        self.left -= found
+        return found
+
+    def carry_out(self) -> None:
+        """Carry out what was kept back; it has to do nothing."""
+        before = dict(self.state.keys)
+        assert not set(self.state.carry_out()) - {409}, "what is carried out after newer ones does nothing"
+        assert self.state.keys == before
+
+
+async def _elect_anew(whole: Cluster, unanswered: Unanswered) -> None:
+    """The leader ends, another is elected, and what was kept back is carried out then."""
+    first = whole.leader()
+    whole.crash(first)
+    while not any(one.reports.inbox is not None for one in whole.controllers.values()):
+        await trio.sleep(0.05)
+    unanswered.carry_out()  # while the lease of an election that was asked for again may last
+    whole.start(first)
+    await trio.sleep(6)
+
+
 @pytest.mark.parametrize("late", [True, False], ids=["late", "answer lost"])
 @pytest.mark.parametrize("writer", list(WRITERS))
 async def test_transactions_without_an_answer_do_no_harm(
@@ -40,27 +74,11 @@
 ) -> None:
     """Of each writer some are carried out only after newer ones, or at once, with others reading what they wrote."""
     async with cluster(monkeypatch) as whole:
-        state, checker = whole.state, ConsistencyChecker(whole)
-        most = left = 1 if writer == "elections" else 3
-
-        def lost(keys: list[str]) -> bool:
-            nonlocal left
-            found = left > 0 and any(key.startswith(WRITERS[writer]) for key in keys)
-            left -= found
-            return found
-
-        def carry_out() -> None:
-            before = dict(state.keys)
-            assert not set(state.carry_out()) - {409}, "what is carried out after newer ones does nothing"
-            assert state.keys == before
-
-        if late:
-            state.keeps = lost
-        else:
-            state.answer_s = lambda keys: math.inf if lost(keys) else 0.0
+        checker = ConsistencyChecker(whole)
+        unanswered = Unanswered(whole.state, writer, late)
         if writer == "rollout":
             for number in range(3):
-                state._apply({"guards": [], "apply": [{"put": f"lf/v/n{number}", "value": {"level": 0}}]})
+                whole.state._apply({"guards": [], "apply": [{"put": f"lf/v/n{number}", "value": {"level": 0}}]})
         steady, ends, off = "req-000001", "req-000002", "req-000003"
         whole.jobs |= {
             steady: job(steady, shape="daemon"),
@@ -76,15 +94,9 @@
         await whole.until(0, ends, "done", 60)
         await checker.ask_concurrently(ends, 0.1)
         await trio.sleep(2 * REPORT_S)
-        carry_out()
-        first = whole.leader()
-        whole.crash(first)
-        while not any(one.reports.inbox is not None for one in whole.controllers.values()):
-            await trio.sleep(0.05)
-        carry_out()  # while the lease of an election that was asked for again may last
-        whole.start(first)
-        await trio.sleep(6)
-        assert left < most, "it was met"
+        unanswered.carry_out()
+        await _elect_anew(whole, unanswered)
+        assert unanswered.left < unanswered.most, "it was met"
         epoch = whole.controllers[whole.leader()].leadership.known_epoch()
         assert epoch <= 2 + (writer == "elections" and not late), "and ends no term"
         for uid, phase in ((steady, "running"), (ends, "done"), (off, "cancelled")):
