--- a/ladderfield/cancellation_sync.py
+++ b/ladderfield/cancellation_sync.py
@@ -112,9 +112,9 @@
             if level_of(self.view, member) < CANCELLATION_SYNC:
                 return  # it would close the connection
             reply = await link.ask(CANCELLATION_QUERY, QUESTION.pack(term.epoch, ledger), timeout)
-            if reply is not None and reply[0] == 200:
+            if reply is not None and reply.status == 200:
                 try:
-                    answers[member] = Answer(reply[1], asked_at, trio.current_time())
+                    answers[member] = Answer(reply.body, asked_at, trio.current_time())
                 except MalformedAnswerError as error:
                     self._warn(member, error)
 
--- a/ladderfield/peers.py
+++ b/ladderfield/peers.py
@@ -19,6 +19,7 @@
 import logging
 import struct
 from collections.abc import Awaitable, Callable
+from typing import NamedTuple
 
 import trio
 
@@ -109,6 +110,13 @@
             self.open -= 1
 
 
+class PeerAnswer(NamedTuple):
+    """What another controller answered."""
+
+    status: int
+    body: bytes
+
+
 class PeerLink:
     """Questions to one other controller."""
 
@@ -123,7 +131,7 @@
         self.leads = True  # whether it may be leader, as it last said; silence proves nothing
         self.knows: tuple[int, str] = (0, "")  # the highest epoch it knows, and that epoch's leader
 
-    async def ask(self, kind: int, body: bytes, timeout: float, status: int = 0) -> tuple[int, bytes] | None:
+    async def ask(self, kind: int, body: bytes, timeout: float, status: int = 0) -> PeerAnswer | None:
         """The answer's status and body, or None."""
         if self._busy >= self.at_once:
             return None
@@ -136,7 +144,7 @@
                 await stream.send_all(pack(kind, status, body))
                 answer_kind, status, answer = await read(stream)
                 whole = self.reachable = answer_kind == ANSWER
-                return (status, answer) if whole else None
+                return PeerAnswer(status, answer) if whole else None
         except (FrameError, EOFError, OSError, trio.BrokenResourceError, trio.ClosedResourceError, trio.TooSlowError):
             self.reachable = False
             return None
@@ -151,8 +159,8 @@
     async def check(self, timeout: float) -> None:
         """Ask how the other controller is."""
         answer = await self.ask(HEALTH, b"", timeout)
-        self.state_ok = answer is not None and answer[0] == 200
+        self.state_ok = answer is not None and answer.status == 200
         self.leads, self.knows = True, (0, "")
-        if answer is not None and len(answer[1]) >= SELF.size:
-            leads, epoch = SELF.unpack_from(answer[1])
-            self.leads, self.knows = bool(leads), (epoch, answer[1][SELF.size :].decode(errors="replace"))
+        if answer is not None and len(answer.body) >= SELF.size:
+            leads, epoch = SELF.unpack_from(answer.body)
+            self.leads, self.knows = bool(leads), (epoch, answer.body[SELF.size :].decode(errors="replace"))
--- a/ladderfield/view.py
+++ b/ladderfield/view.py
@@ -55,16 +55,16 @@
         self.ledger = -1
         self.proven_at = -math.inf  # when the last read was sent that proved the view to be fresh
         self.synced = False
-        self._whole_at = -1  # what was read in several pages is of one moment only from this revision on
+        self._consistent_from = -1  # what was read in several pages is of one moment only from this revision on
         self._patience = settings.cluster.workers.report_s / 2
-        self._moved = trio.Event()
+        self._advanced = trio.Event()
         self._restart: trio.CancelScope | None = None
         self._watch_at = -math.inf
-        self._hang = WATCH_LAG * settings.cluster.workers.report_s
+        self._watch_lag_s = WATCH_LAG * settings.cluster.workers.report_s
         self._subscribers: list[trio.MemorySendChannel[list[Change]]] = []
         self.followers: list[Callable[[Change], None]] = []  # told of each change as soon as ``data`` has it
-        self._wanted = trio.Event()
-        self._reading: SharedRead | None = None
+        self._read_wanted = trio.Event()
+        self._shared_read: SharedRead | None = None
 
     def get(self, key: str) -> Any:
         """A key's value, or None."""
@@ -116,7 +116,7 @@
         changes = [Change(key, value, stamp) for key, (value, stamp) in data.items() if self.stamp(key) != stamp]
         changes += [Change(key, None, first) for key in self.data if key not in data]
         self.data = data
-        self._whole_at = page.ledger
+        self._consistent_from = page.ledger
         self.synced = True
         await self._reached(first, changes)
 
@@ -156,10 +156,10 @@
             for follower in self.followers:
                 follower(change)
         if ledger > self.ledger:
-            self._hang = WATCH_LAG * 2 * self._patience
+            self._watch_lag_s = WATCH_LAG * 2 * self._patience
         self.ledger = ledger
-        self._moved.set()
-        self._moved = trio.Event()
+        self._advanced.set()
+        self._advanced = trio.Event()
         if changes:
             for subscriber in list(self._subscribers):
                 try:
@@ -175,11 +175,11 @@
         does not help either, the service is slow, and the next one is given longer.
         """
         while not self._holds(ledger):
-            with trio.move_on_after(self._hang):
+            with trio.move_on_after(self._watch_lag_s):
                 while not self._holds(ledger):
-                    await self._moved.wait()
-            if not self._holds(ledger) and self._restart is not None and self._watched_for() >= self._hang:
-                self._hang = min(self._hang * 2, self._patience * 2)
+                    await self._advanced.wait()
+            if not self._holds(ledger) and self._restart is not None and self._watched_for() >= self._watch_lag_s:
+                self._watch_lag_s = min(self._watch_lag_s * 2, self._patience * 2)
                 self._restart.cancel()
 
     def _holds(self, ledger: int) -> bool:
@@ -188,7 +188,7 @@
         Between two pages that were read a job may have ended and been cleared away: the first lacks its end, the second
         its record, and it would seem unknown.
         """
-        return self.ledger >= max(ledger, self._whole_at)
+        return self.ledger >= max(ledger, self._consistent_from)
 
     def _watched_for(self) -> float:
         return trio.current_time() - self._watch_at
@@ -200,10 +200,10 @@
         """
         if not self.synced:
             return False
-        read = self._reading
+        read = self._shared_read
         if read is None or read.started:
-            read = self._reading = SharedRead()
-            self._wanted.set()
+            read = self._shared_read = SharedRead()
+            self._read_wanted.set()
         with trio.move_on_after(timeout):
             await read.answered.wait()
             if read.ledger is None:
@@ -216,9 +216,9 @@
     async def run_reads(self) -> None:
         """Carry out the shared reads, one at a time."""
         while True:
-            await self._wanted.wait()
-            self._wanted = trio.Event()
-            read = self._reading
+            await self._read_wanted.wait()
+            self._read_wanted = trio.Event()
+            read = self._shared_read
             if read is None or read.started:
                 continue
             await self.client.calls.take()
--- a/ladderfield/workers/report_handler.py
+++ b/ladderfield/workers/report_handler.py
@@ -12,17 +12,17 @@
 from ladderfield.http import Reply, Request
 from ladderfield.leader.messages import Message, ReportReceived
 from ladderfield.leadership import Leadership
-from ladderfield.peers import RELAY, PeerLink
+from ladderfield.peers import RELAY, PeerAnswer, PeerLink
 from ladderfield.settings import Settings
 from ladderfield.workers.report import ANSWER_S, Report, parse_report
 
 log = logging.getLogger(__name__)
 
-ANSWER_BY = 0.6  # of the time that a worker waits for its answer is ours
+ANSWER_SHARE = 0.6  # of the time that a worker waits for its answer is ours
 RELAY_FOR = 5.0  # of lease_s: then a relayed worker is sent to the leader itself again
 SUSPECT_FOR = 1.0  # of lease_s: the same for one of which it is only a guess that it can't reach the leader
-REMEMBERED = 4096  # workers
-T = TypeVar("T")
+MOST_REMEMBERED = 4096  # workers
+Value = TypeVar("Value")
 
 
 class ReportHandler:
@@ -32,8 +32,8 @@
         self.leadership, self.links = leadership, links
         self.lease_s = settings.cluster.workers.lease_s
         self.inbox: trio.MemorySendChannel[Message] | None = None  # set while this controller is leader
-        self._sent_away: OrderedDict[str, float] = OrderedDict()  # worker -> when it was named the leader
-        self._carried: OrderedDict[str, float] = OrderedDict()  # worker -> until when its reports are relayed
+        self._redirected_at: OrderedDict[str, float] = OrderedDict()  # worker -> when it was named the leader
+        self._relayed_until: OrderedDict[str, float] = OrderedDict()  # worker -> until when its reports are relayed
         self._newest: OrderedDict[str, tuple[int, int]] = OrderedDict()  # worker -> tenure and tick
         self._warned = False
 
@@ -56,21 +56,21 @@
         link = self.links.get(leader or "")
         if link is None:
             return Reply(421, {})
-        carry_for = None if self._copy(report) else self._cut_off(report, link, trio.current_time())
-        if carry_for is None:
+        relay_for = None if self._is_late_copy(report) else self._relay_for(report, link, trio.current_time())
+        if relay_for is None:
             return Reply(421, {"foreman": leader})
         answer = await self._relay(link, request.body, 0)
-        if answer is None or answer[0] != 200:
+        if answer is None or answer.status != 200:
             return Reply(421, {})
-        if carry_for:
+        if relay_for:
             # Only now: the leader is there and answers us. While it is gone, everybody comes back from it.
-            self._note(self._carried, report.host, trio.current_time() + carry_for)
-            self._sent_away.pop(report.host, None)
+            _remember(self._relayed_until, report.host, trio.current_time() + relay_for)
+            self._redirected_at.pop(report.host, None)
         reply = Reply(200)
-        reply.body = answer[1]
+        reply.body = answer.body
         return reply
 
-    def _copy(self, report: Report) -> bool:
+    def _is_late_copy(self, report: Report) -> bool:
         """Whether the report is no newer than one that came here before.
 
         A late copy tells nothing about whom the worker can reach now.
@@ -78,10 +78,10 @@
         order = (report.tenure, report.tick)
         if order <= self._newest.get(report.host, (-1, -1)):
             return True
-        self._note(self._newest, report.host, order)
+        _remember(self._newest, report.host, order)
         return False
 
-    def _cut_off(self, report: Report, link: PeerLink, now: float) -> float | None:
+    def _relay_for(self, report: Report, link: PeerLink, now: float) -> float | None:
         """Whether the worker likely can't reach the leader, so that its report is relayed.
 
         The answer is None if not, else for how long its next ones are to be relayed too if this one gets there.
@@ -91,20 +91,20 @@
         another wait for nothing: two of them are more than a silent machine is given.
         """
         host = report.host
-        if now < self._carried.get(host, 0.0) or not link.reachable:
+        if now < self._relayed_until.get(host, 0.0) or not link.reachable:
             return 0.0
-        if now - self._sent_away.get(host, -math.inf) < self.lease_s:
+        if now - self._redirected_at.get(host, -math.inf) < self.lease_s:
             log.info("machine %s: can't reach %s, its reports are relayed", host, link.peer.member)
             return RELAY_FOR * self.lease_s
-        lately = now - self._carried.get(host, -math.inf) < self.lease_s  # then it is sent there, to see
+        lately = now - self._relayed_until.get(host, -math.inf) < self.lease_s  # then it is sent there, to see
         if report.epoch == self.leadership.known_epoch() and not lately:
             return SUSPECT_FOR * self.lease_s
-        self._note(self._sent_away, host, now)
+        _remember(self._redirected_at, host, now)
         return None
 
-    async def _relay(self, link: PeerLink, body: bytes, hops: int) -> tuple[int, bytes] | None:
+    async def _relay(self, link: PeerLink, body: bytes, hops: int) -> PeerAnswer | None:
         """The leader's answer, asked directly, or by way of another controller if we can't reach it."""
-        timeout = ANSWER_S * ANSWER_BY / (1 + hops)
+        timeout = ANSWER_S * ANSWER_SHARE / (1 + hops)
         if link.reachable or hops:
             return await link.ask(RELAY, body, timeout, hops + 1)
         for other in self.links.values():
@@ -140,14 +140,15 @@
         message = ReportReceived(report, relayed)
         if not self.tell_leader(message):
             return Reply(503, {})
-        with trio.move_on_after(ANSWER_S * ANSWER_BY):
+        with trio.move_on_after(ANSWER_S * ANSWER_SHARE):
             answer = await message.answer.wait()
             return Reply(421, {}) if answer is None else Reply(200, answer)
         return Reply(503, {})
 
-    @staticmethod
-    def _note(table: OrderedDict[str, T], host: str, value: T) -> None:
-        table[host] = value
-        table.move_to_end(host)
-        if len(table) > REMEMBERED:
-            table.popitem(last=False)
+
+def _remember(table: OrderedDict[str, Value], host: str, value: Value) -> None:
+    """Keep a worker's value; the one noted first goes when there are too many."""
+    table[host] = value
+    table.move_to_end(host)
+    if len(table) > MOST_REMEMBERED:
+        table.popitem(last=False)
--- a/ladderfield/workers/test_workers.py
+++ b/ladderfield/workers/test_workers.py
@@ -8,7 +8,7 @@
 
 from ladderfield.http import Request
 from ladderfield.leadership import EPOCH, LEADER, Leadership
-from ladderfield.peers import PeerLink
+from ladderfield.peers import PeerAnswer, PeerLink
 from ladderfield.settings import Peer
 from ladderfield.state import StateClient
 from ladderfield.testing import REPORT, settings
@@ -26,8 +26,8 @@
     desk = ReportHandler(own, Leadership(own, client, view), {"n0": link})
     up, ticks = True, iter(range(100))
 
-    async def ask(kind: int, body: bytes, timeout: float, status: int = 0) -> tuple[int, bytes] | None:
-        return (200, b"{}") if up else None
+    async def ask(kind: int, body: bytes, timeout: float, status: int = 0) -> PeerAnswer | None:
+        return PeerAnswer(200, b"{}") if up else None
 
     link.ask = ask  # type: ignore[method-assign]
 
@@ -72,8 +72,8 @@
     link = PeerLink(Peer("n0", "10.0.0.1:81"))
     desk = ReportHandler(own, Leadership(own, client, view), {"n0": link})
 
-    async def relayed(kind: int, body: bytes, timeout: float, status: int = 0) -> tuple[int, bytes] | None:
-        return 200, b"{}"
+    async def relayed(kind: int, body: bytes, timeout: float, status: int = 0) -> PeerAnswer | None:
+        return PeerAnswer(200, b"{}")
 
     link.ask = relayed  # type: ignore[method-assign]
     body = msgspec.json.encode(REPORT | {"host": "i-1", "tick": 9})
