--- a/ladderfield/leader/actor.py
+++ b/ladderfield/leader/actor.py
@@ -41,6 +41,7 @@
 from ladderfield.state import StateClient
 from ladderfield.view import Change, View
 from ladderfield.workers.machine import Machine
+from ladderfield.workers.orders import Order, ReportAnswer
 from ladderfield.workers.report import Report
 
 log = logging.getLogger(__name__)
@@ -186,11 +187,11 @@
             message.answer.set(None)
             return
         machine = self.desk.sessions.report(report, now, answering=True)
-        orders: list[dict[str, Any]] = []
+        orders: list[Order] = []
         if machine is not None and (report.tenure, report.tick) == (machine.tenure, machine.tick):
             machine.came(message.relayed, now)
             orders = self.desk.sessions.orders(machine, now, report.tick, self.term.may_start(now))
-        message.answer.set({"epoch": self.term.epoch, "orders": orders})
+        message.answer.set(ReportAnswer(self.term.epoch, orders))
 
     def _outranked(self, report: Report, now: float) -> bool:
         """Whether the machine has seen a later leader's epoch, so that nothing we say counts there; then we yield.
--- a/ladderfield/leader/dispatcher.py
+++ b/ladderfield/leader/dispatcher.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import logging
-from typing import Any
 
 import trio
 
@@ -13,6 +12,7 @@
 from ladderfield.leadership import Term
 from ladderfield.settings import Settings, address
 from ladderfield.workers.machine import Machine
+from ladderfield.workers.orders import Order, OrdersRequest
 from ladderfield.workers.report import parse_report
 
 log = logging.getLogger(__name__)
@@ -78,7 +78,7 @@
         """Begin a push unless there is nothing to say, or no way to say it from here."""
         if machine.relayed and not silent:
             return False  # another controller reaches it, we likely don't: its orders go with the answers
-        orders: list[dict[str, Any]] = []
+        orders: list[Order] = []
         if machine.epoch == self.term.epoch:
             orders = self.desk.sessions.orders(machine, now, None, self.term.may_start(now))
         if not orders and not silent and machine.epoch == self.term.epoch:
@@ -89,15 +89,15 @@
         self.nursery.start_soon(self._push, machine, max(machine.tenure, 1), orders)
         return True
 
-    async def _push(self, machine: Machine, tenure: int, orders: list[dict[str, Any]]) -> None:
+    async def _push(self, machine: Machine, tenure: int, orders: list[Order]) -> None:
         host = machine.host
-        attempts = [order["try"] for order in orders if order["verb"] == "launch"]
+        attempts = [order.attempt for order in orders if order.verb == "launch"]
         executed, report = False, None
         client = self._clients.pop(host, None)
         try:
             client = client or Client(*address(machine.endpoint), keep=1)
             self._clients[host] = client
-            body = {"epoch": self.term.epoch, "tenure": tenure, "orders": orders}
+            body = OrdersRequest(self.term.epoch, tenure, orders)
             status, data = await client.call("POST", "/orders", body, PUSH_TIMEOUT * self.report_s)
             executed = status == 200
             if status in (200, 409):
--- a/ladderfield/leader/messages.py
+++ b/ladderfield/leader/messages.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import math
-from typing import Any
 
 import msgspec
 import trio
@@ -13,6 +12,7 @@
 from ladderfield.leader.ledger import Transaction
 from ladderfield.state import Outcome
 from ladderfield.view import Change
+from ladderfield.workers.orders import ReportAnswer
 from ladderfield.workers.report import Report
 
 
@@ -23,9 +23,9 @@
 
     def __init__(self) -> None:
         self._event = trio.Event()
-        self.value: dict[str, Any] | None = None
+        self.value: ReportAnswer | None = None
 
-    def set(self, value: dict[str, Any] | None) -> None:
+    def set(self, value: ReportAnswer | None) -> None:
         """Answer or refuse the request."""
         self.value = value
         self._event.set()
@@ -34,7 +34,7 @@
         """Whether the request was answered or refused."""
         return self._event.is_set()
 
-    async def wait(self) -> dict[str, Any] | None:
+    async def wait(self) -> ReportAnswer | None:
         """The answer, once it is there."""
         await self._event.wait()
         return self.value
--- a/ladderfield/leader/sessions.py
+++ b/ladderfield/leader/sessions.py
@@ -5,11 +5,12 @@
 import logging
 import math
 from collections.abc import Iterable
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from ladderfield.jobs.model import MachineType
 from ladderfield.queues.work import Claim, TaskId, task_name
 from ladderfield.workers.machine import UNKNOWN, Machine
+from ladderfield.workers.orders import Order
 from ladderfield.workers.report import Report, Rung
 
 if TYPE_CHECKING:
@@ -188,13 +189,13 @@
             log.warning("task %s: %s refused it: %s", task_name(claim.task), machine.host, rung.cause)
             job.not_before = now + desk.report_s
 
-    def orders(self, machine: Machine, now: float, tick: int | None, may_start: bool = True) -> list[dict[str, Any]]:
+    def orders(self, machine: Machine, now: float, tick: int | None, may_start: bool = True) -> list[Order]:
         """What the machine has to be told now. ``tick``: the report that this answers, None for a push.
 
         Without ``may_start`` nothing is launched, though it is on record: another controller may be leader already,
         and the job may be confirmed as cancelled there.
         """
-        result: list[dict[str, Any]] = []
+        result: list[Order] = []
         if machine.deleting and not machine.claims:
             return result
         for claim in list(machine.claims.values()):
@@ -206,7 +207,7 @@
         result += self._unclaimed_orders(machine)
         return result
 
-    def _stop_orders(self, machine: Machine, claim: Claim, now: float, may_relaunch: bool) -> list[dict[str, Any]]:
+    def _stop_orders(self, machine: Machine, claim: Claim, now: float, may_relaunch: bool) -> list[Order]:
         """What stops a claim's attempt, if it has to be told now."""
         attempt, phase = machine.seen.get(claim.task, (None, ""))
         resend = RESEND * self.desk.report_s
@@ -215,16 +216,16 @@
             if again and phase != "flushing":
                 self.ignored(machine, 1, now)
             claim.stop_at = now
-            return [self._stop(claim.task, claim.attempt, 0.0 if again else self._wind_down(claim))]
+            return [Order.stop(claim.task, claim.attempt, 0.0 if again else self._wind_down(claim))]
         if self._lost(machine, claim, attempt) and may_relaunch and now - claim.sent_at > resend:
             # Guards the task against waiting for ever: its launch by /orders was lost, or may still come. An answer
             # can't be late: what is launched and stopped by it is listed, so that the claim ends, and shields against
             # the late copy.
             claim.sent_at = now
-            return [self._launch(claim), self._stop(claim.task, claim.attempt, 0.0)]
+            return [Order.launch(claim.task, claim.attempt), Order.stop(claim.task, claim.attempt, 0.0)]
         return []
 
-    def _launch_orders(self, machine: Machine, claim: Claim, now: float, tick: int | None) -> list[dict[str, Any]]:
+    def _launch_orders(self, machine: Machine, claim: Claim, now: float, tick: int | None) -> list[Order]:
         """What launches a claim's attempt, if it has to be told now."""
         attempt, _ = machine.seen.get(claim.task, (None, ""))
         if attempt == claim.attempt:
@@ -241,20 +242,20 @@
         if tick is None:
             machine.doubts[claim.attempt] = machine.doubts.get(claim.attempt, 0) + 1
         claim.sent_tick = machine.tick if tick is None else tick
-        return [self._launch(claim)]
+        return [Order.launch(claim.task, claim.attempt)]
 
-    def _unclaimed_orders(self, machine: Machine) -> list[dict[str, Any]]:
+    def _unclaimed_orders(self, machine: Machine) -> list[Order]:
         """What becomes of listed attempts that have no claim: stopped, or reaped once their end is on record."""
-        result: list[dict[str, Any]] = []
+        result: list[Order] = []
         for task, (attempt, phase) in machine.seen.items():
             current = machine.claims.get(task)
             if current is not None and current.attempt == attempt:
                 continue
             if phase != "exited":
                 # No claim stands for it. That can't be ours to want, so it has to go.
-                result.append(self._stop(task, attempt, 0.0))
+                result.append(Order.stop(task, attempt, 0.0))
             elif attempt not in machine.doubts and self._settled(task):
-                result.append({"verb": "reap", "rung": task_name(task), "try": attempt})
+                result.append(Order.reap(task, attempt))
         return result
 
     @staticmethod
@@ -262,20 +263,12 @@
         """Whether a stop can't show, as the launch before it does not. A cancelled task is never launched anew."""
         return listed is None and claim.attempt in machine.doubts and claim.job.final is None
 
-    @staticmethod
-    def _launch(claim: Claim) -> dict[str, Any]:
-        return {"verb": "launch", "rung": task_name(claim.task), "try": claim.attempt}
-
     def _wind_down(self, claim: Claim) -> float:
         spec = claim.job.spec
         if not spec.checkpoint_s or claim.stopping == "cancelled":
             return 0.0
         return spec.save_s * WIND_DOWN
 
-    @staticmethod
-    def _stop(task: TaskId, attempt: int, wind_down_s: float) -> dict[str, Any]:
-        return {"verb": "stop", "rung": task_name(task), "try": attempt, "windDownS": wind_down_s}
-
     def _settled(self, task: TaskId) -> bool:
         """Whether the task's end is on record, so that the worker may forget it."""
         job = self.desk.jobs.get(task[0])
--- a/ladderfield/leader/test_orders.py
+++ b/ladderfield/leader/test_orders.py
@@ -4,6 +4,7 @@
 
 from typing import Any
 
+import msgspec
 import pytest
 import trio
 
@@ -19,7 +20,7 @@
     sent: list[Any] = []
 
     async def call(self: Client, method: str, target: str, body: Any, timeout: float) -> tuple[int, bytes]:
-        sent.append(body)
+        sent.append(msgspec.json.decode(msgspec.json.encode(body)))
         raise NoAnswer("lost")
 
     monkeypatch.setattr(Client, "call", call)
--- a/ladderfield/testing/leader.py
+++ b/ladderfield/testing/leader.py
@@ -17,6 +17,7 @@
 from ladderfield.testing.samples import TYPES, accepted, job, settings
 from ladderfield.view import Change, View
 from ladderfield.workers.machine import Machine
+from ladderfield.workers.orders import Order
 from ladderfield.workers.report import Report
 
 EPOCH_NOW = 7
@@ -71,7 +72,7 @@
         machine = self.desk.sessions.report(msgspec.convert(raw, Report), now, answering=True)
         assert machine is not None
         self.desk.schedule(now)
-        return self.desk.sessions.orders(machine, now, self.ticks[host])
+        return wire_orders(self.desk.sessions.orders(machine, now, self.ticks[host]))
 
     def record(self, now: float = 1.0) -> None:
         """Everything due is written and answered."""
@@ -84,6 +85,11 @@
         return self.desk.machines[host]
 
 
+def wire_orders(orders: list[Order]) -> list[dict[str, Any]]:
+    """Orders as a worker reads them."""
+    return [msgspec.json.decode(msgspec.json.encode(order)) for order in orders]
+
+
 def rung(
     index: int, attempt: int, phase: str = "running", cause: str | None = None, uid: str = "req-000001"
 ) -> dict[str, Any]:
@@ -107,7 +113,7 @@
     harness.report()
     harness.record()
     machine = harness.machine()
-    (order,) = harness.desk.sessions.orders(machine, 1.0, None)
+    (order,) = wire_orders(harness.desk.sessions.orders(machine, 1.0, None))
     return machine, order
 
 
