--- a/ladderfield/leader/test_stranded.py
+++ b/ladderfield/leader/test_stranded.py
@@ -46,7 +46,7 @@
     harness.desk.stop(machine.claims["req-000001", 0], "preempted", 2.0)
     if answer is not None:
         harness.desk.sessions.answered(machine, [order["try"]], False)
-    listed: dict[str, dict] = {}
+    listed: dict[str, dict[str, Any]] = {}
     for step in range(int(WAIT)):
         for told in harness.report(rungs=tuple(listed.values()), now=2.0 + step):
             if told["verb"] == "launch":
--- a/ladderfield/testing/leader.py
+++ b/ladderfield/testing/leader.py
@@ -57,7 +57,7 @@
     def report(
         self,
         host: str = "m",
-        rungs: tuple = (),
+        rungs: tuple[dict[str, Any], ...] = (),
         now: float = 1.0,
         tenure: int = 1,
         epoch: int = EPOCH_NOW,
--- a/ladderfield/workers/test_workers.py
+++ b/ladderfield/workers/test_workers.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from typing import Any
+
 import msgspec
 import pytest
 import trio
@@ -59,7 +61,7 @@
     "change",
     [{"host": 3}, {"tenure": -1}, {"tick": 2**64}, {"rungs": 1}, {"rungs": [{"rung": "x", "try": 1, "phase": "y"}]}],
 )  # fmt: skip
-def test_malformed_reports_are_refused(change: dict) -> None:
+def test_malformed_reports_are_refused(change: dict[str, Any]) -> None:
     with pytest.raises(ValueError):
         parse_report(msgspec.json.encode(REPORT | change))
 
