--- a/ladderfield/test_documentation.py
+++ b/ladderfield/test_documentation.py
@@ -1,4 +1,4 @@
-"""What docs/design.md says guards each meeting of troubles exists: every test and every guard that its table names."""
+"""The tests, guards and modules that the documentation names exist."""
 
 from __future__ import annotations
 
@@ -7,7 +7,8 @@
 from pathlib import Path
 
 PACKAGE = Path(__file__).parent
-DESIGN = PACKAGE.parent / "docs" / "design.md"
+DOCS = PACKAGE.parent / "docs"
+DESIGN = DOCS / "design.md"
 HEADING = "## Meetings of troubles"
 ABBREVIATIONS = {
     "grace": "test_grace.py",
@@ -94,6 +95,15 @@
     assert {path for path in paths if not (PACKAGE / path).exists()} == set()
 
 
+def test_every_test_that_an_incident_names_exists() -> None:
+    pages = [page.read_text(encoding="utf-8") for page in (DOCS / "incidents").glob("*.md")]
+    named = [pair for page in pages for pair in re.findall(r"`(test_\w+)`\s+\(([\w/]+\.py)\)", page)]
+    assert len(named) >= 7
+    assert [(test, path) for test, path in named if test not in defined_in(PACKAGE / path)] == []
+    tests = set[str]().union(*(defined_in(path) for path in PACKAGE.rglob("test_*.py")))
+    assert {test for page in pages for test in re.findall(r"`(test_\w+)`", page)} <= tests
+
+
 def test_the_table_of_meetings_is_read() -> None:
     assert len(rows()) >= 27
 
--- a/ladderfield/test_wire_format.py
+++ b/ladderfield/test_wire_format.py
@@ -234,8 +234,8 @@
         "relay": RELAY,
         "answer": ANSWER,
         "health": HEALTH,
-        "vouch": CANCELLATION_QUERY,
-        "cancelled": CANCELLATION_NOTICE,
+        "cancellation_query": CANCELLATION_QUERY,
+        "cancellation_notice": CANCELLATION_NOTICE,
     }
     samples = {name: pack(kind, 200, b"body") for name, kind in names.items()}
     samples["self"] = SELF.pack(True, 6) + b"n1"
@@ -261,7 +261,7 @@
         await trio.sleep(1.5)
         nursery.cancel_scope.cancel()
     status, body = sync.answer(samples[f"asked_{CANCELLATION_QUERY}"])
-    samples["vouched"] = f"{status} ".encode() + body
+    samples["cancellation_answer"] = f"{status} ".encode() + body
     assert_recorded("frame", samples)
 
 
