--- a/ladderfield/leader/actor.py
+++ b/ladderfield/leader/actor.py
@@ -96,7 +96,7 @@
             Tick: self._on_tick,
         }
 
-    async def run(self, announce: Any) -> None:
+    async def run(self, announce: Callable[[trio.MemorySendChannel[Message] | None], None]) -> None:
         """Take over, announce the inbox, and serve until the term is over."""
         while self.view.ledger < self.term.stamp:
             # Without a view there is nothing to take over, but a term that is over must not hold up the next one.
@@ -174,8 +174,6 @@
                 self.writer.submit(txn)
         self.dispatcher.dispatch(now)
 
-    # -- messages ----------------------------------------------------------------------------------------------
-
     def _on_report(self, message: ReportReceived, now: float) -> None:
         report = message.report
         patience = max(self.term.grace, self.term.ttl)
@@ -273,8 +271,6 @@
         """Whether a stop has not been told yet."""
         return any(claim.stopping is not None and claim.stop_at == -math.inf for claim in machine.claims.values())
 
-    # -- helpers -----------------------------------------------------------------------------------------------
-
     async def _feed(self, changes: trio.MemoryReceiveChannel[list[Change]]) -> None:
         async for batch in changes:
             await self.send.send(KeysChanged(batch))
