--- a/ladderfield/jobs/test_chains.py
+++ b/ladderfield/jobs/test_dependencies.py
@@ -5,9 +5,9 @@
 import itertools
 from typing import Any
 
-from ladderfield.jobs.chains import Chains
-from ladderfield.state import Change
+from ladderfield.jobs.dependencies import DependencyGraph
 from ladderfield.testing import accepted, job
+from ladderfield.view import Change
 
 URGENT, STANDARD, BEST_EFFORT = 1, 2, 3
 
@@ -17,9 +17,10 @@
 
     def __init__(self) -> None:
         self.data: dict[str, Any] = {}
-        self.chains = Chains(self.data.get)
+        self.chains = DependencyGraph(self.data.get)
 
     def put(self, key: str, value: Any) -> None:
+        """A key changes, or (None) goes."""
         if value is None:
             self.data.pop(key, None)
         else:
@@ -27,9 +28,11 @@
         self.chains.take(Change(key, value, 1))
 
     def accept(self, uid: str, *needs: str, **changes: Any) -> None:
+        """A job that waits for others is accepted."""
         self.put(f"lf/j/{uid}", accepted(job(uid, waitsOn=list(needs), **changes), at=1000.0))
 
     def end(self, uid: str, phase: str = "done") -> None:
+        """A job ends."""
         self.put(f"lf/f/{uid}", {"phase": phase, "at": 1100.0})
 
 
@@ -92,7 +95,7 @@
     a, b = uids(2)
     records.accept(a)
     records.accept(b, a)
-    records.put("lf/j/second", {"jobs": records.data[f"lf/j/{b}"]["jobs"]})  # a retry at another door
+    records.put("lf/j/second", {"jobs": records.data[f"lf/j/{b}"]["jobs"]})  # a retry at another controller
     records.end(a, "cancelled")
     records.put(f"lf/j/{b}", None)
     assert records.chains.cancelled(b) and b in records.chains, "another record names it still"
--- a/ladderfield/leader/desk.py
+++ b/ladderfield/leader/desk.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from ladderfield.jobs.chains import Chains
+from ladderfield.jobs.dependencies import DependencyGraph
 from ladderfield.jobs.model import (
     CANCELLED,
     DONE,
@@ -35,8 +35,8 @@
 from ladderfield.queues.pick import Queues, Tier, tiers
 from ladderfield.queues.work import Claim, Job, Record, Shape, Share, TaskId, task_name
 from ladderfield.settings import Settings
-from ladderfield.state import Change
 from ladderfield.teams import Teams
+from ladderfield.view import Change
 from ladderfield.workers.machine import UNKNOWN, Machine
 
 log = logging.getLogger(__name__)
@@ -62,7 +62,7 @@
         now: float,
         wall: float,
         grace_s: float,
-        chains: Chains,
+        chains: DependencyGraph,
         before: Mapping[str, float] | None = None,
     ) -> None:
         workers = settings.cluster.workers
--- a/ladderfield/leadership.py
+++ b/ladderfield/leadership.py
@@ -15,9 +15,10 @@
 
 from ladderfield.http import encode
 from ladderfield.jobs.model import FULL
-from ladderfield.rollout import VOUCHING, level_of
+from ladderfield.rollout import CANCELLATION_SYNC, level_of
 from ladderfield.settings import Settings
-from ladderfield.state import StateClient, Unavailable, View
+from ladderfield.state import StateClient, StateServiceError
+from ladderfield.view import View
 from ladderfield.workers.machine import CLOCKS
 from ladderfield.workers.report import EPOCH_MOST
 
@@ -47,7 +48,7 @@
 
 def grace_of(settings: Settings, view: View, member: str) -> float:
     """The longest that a controller may answer reports after another was elected."""
-    if level_of(view, member) >= VOUCHING:
+    if level_of(view, member) >= CANCELLATION_SYNC:
         return grace_s(settings)
     return GRACE_BEFORE * settings.cluster.workers.lease_s
 
@@ -157,7 +158,7 @@
                             break
                     try:
                         term = await self._campaign()
-                    except Unavailable as error:
+                    except StateServiceError as error:
                         log.debug("campaign: %s", error)
                         term = None
                     if term is not None:
@@ -227,7 +228,7 @@
                     term.renewed_at = sent
                 else:
                     term.end("its lease ended")
-            except Unavailable as error:
+            except StateServiceError as error:
                 log.debug("epoch %d: renewal: %s", term.epoch, error)
                 now = trio.current_time()
                 if now > term.renewed_at + self.ttl and not term.may_answer(now):
--- a/ladderfield/peers.py
+++ b/ladderfield/peers.py
@@ -2,9 +2,9 @@
 
 Three things need it: a worker that can't reach the leader gets its report relayed, if need be by way of a third
 controller; each learns how the others are: whether the state service serves them, that they are not leader, and
-who is; and a leader learns of cancellations that it can't see on record (``vouching.py``). So a leader that the state
-service alone has lost steps down as soon as its successor can be asked, and a controller without the state service
-still sends workers to the right place.
+who is; and a leader learns of cancellations that it can't see on record (``cancellation_sync.py``). So a leader that
+the state service alone has lost steps down as soon as its successor can be asked, and a controller without the state
+service still sends workers to the right place.
 
     frame:  magic 2s | version B | kind B | status H | length I | body
     health: leads B | epoch Q | name of that epoch's leader
@@ -19,6 +19,7 @@
 import logging
 import struct
 from collections.abc import Awaitable, Callable
+from typing import NamedTuple
 
 import trio
 
@@ -30,7 +31,7 @@
 HEAD = struct.Struct("!2sBBHI")
 MAGIC, VERSION = b"lf", 2
 BODY_MOST = 64 * 1024  # a report's bound, and so an answer's
-RELAY, ANSWER, HEALTH, VOUCH, CANCELLED = 1, 2, 3, 4, 5
+RELAY, ANSWER, HEALTH, CANCELLATION_QUERY, CANCELLATION_NOTICE = 1, 2, 3, 4, 5
 SELF = struct.Struct("!BQ")  # in the answer to HEALTH: may be leader itself | highest epoch known, then its leader
 BACK_SHARE = 1 / 14  # of the sockets: what the others may open to us, and so we to them all together
 
@@ -40,22 +41,22 @@
     return max(8, int(max_connections * BACK_SHARE))
 
 
-class BadFrame(Exception):
+class FrameError(Exception):
     """Not a frame of ours: the connection is closed."""
 
 
 def pack(kind: int, status: int, body: bytes) -> bytes:
     """A frame."""
     if len(body) > BODY_MOST:
-        raise BadFrame(f"{len(body)} bytes are too many")
+        raise FrameError(f"{len(body)} bytes are too many")
     return HEAD.pack(MAGIC, VERSION, kind, status, len(body)) + body
 
 
 def unpack_head(head: bytes) -> tuple[int, int, int]:
     """Kind, status and length of the body to come."""
     magic, version, kind, status, length = HEAD.unpack(head)
-    if magic != MAGIC or version != VERSION or not RELAY <= kind <= CANCELLED or length > BODY_MOST:
-        raise BadFrame(f"{head.hex()} is no frame head")
+    if magic != MAGIC or version != VERSION or not RELAY <= kind <= CANCELLATION_NOTICE or length > BODY_MOST:
+        raise FrameError(f"{head.hex()} is no frame head")
     return kind, status, length
 
 
@@ -99,7 +100,7 @@
                     status, body = await self.answer(kind, status, body)
                     with trio.fail_after(self.answer_s):
                         await stream.send_all(pack(ANSWER, status, body))
-        except BadFrame as error:
+        except FrameError as error:
             if not self._warned:
                 self._warned = True
                 log.warning("a malformed frame came over back: %s", error)
@@ -109,6 +110,13 @@
             self.open -= 1
 
 
+class PeerAnswer(NamedTuple):
+    """What another controller answered."""
+
+    status: int
+    body: bytes
+
+
 class PeerLink:
     """Questions to one other controller."""
 
@@ -123,7 +131,7 @@
         self.leads = True  # whether it may be leader, as it last said; silence proves nothing
         self.knows: tuple[int, str] = (0, "")  # the highest epoch it knows, and that epoch's leader
 
-    async def ask(self, kind: int, body: bytes, timeout: float, status: int = 0) -> tuple[int, bytes] | None:
+    async def ask(self, kind: int, body: bytes, timeout: float, status: int = 0) -> PeerAnswer | None:
         """The answer's status and body, or None."""
         if self._busy >= self.at_once:
             return None
@@ -136,8 +144,8 @@
                 await stream.send_all(pack(kind, status, body))
                 answer_kind, status, answer = await read(stream)
                 whole = self.reachable = answer_kind == ANSWER
-                return (status, answer) if whole else None
-        except (BadFrame, EOFError, OSError, trio.BrokenResourceError, trio.ClosedResourceError, trio.TooSlowError):
+                return PeerAnswer(status, answer) if whole else None
+        except (FrameError, EOFError, OSError, trio.BrokenResourceError, trio.ClosedResourceError, trio.TooSlowError):
             self.reachable = False
             return None
         finally:
@@ -151,8 +159,8 @@
     async def check(self, timeout: float) -> None:
         """Ask how the other controller is."""
         answer = await self.ask(HEALTH, b"", timeout)
-        self.state_ok = answer is not None and answer[0] == 200
+        self.state_ok = answer is not None and answer.status == 200
         self.leads, self.knows = True, (0, "")
-        if answer is not None and len(answer[1]) >= SELF.size:
-            leads, epoch = SELF.unpack_from(answer[1])
-            self.leads, self.knows = bool(leads), (epoch, answer[1][SELF.size :].decode(errors="replace"))
+        if answer is not None and len(answer.body) >= SELF.size:
+            leads, epoch = SELF.unpack_from(answer.body)
+            self.leads, self.knows = bool(leads), (epoch, answer.body[SELF.size :].decode(errors="replace"))
--- a/ladderfield/rollout.py
+++ b/ladderfield/rollout.py
@@ -13,14 +13,15 @@
 import trio
 
 from ladderfield.settings import Settings
-from ladderfield.state import StateClient, Unavailable, View
+from ladderfield.state import StateClient, StateServiceError
+from ladderfield.view import View
 
 log = logging.getLogger(__name__)
 
 VERSION = "lf/v/"  # a controller, and what its program understands
 WAITING = 1  # jobs that wait for others
-VOUCHING = 2  # questions about cancellations over ``back``, and the grace period that they allow
-LEVEL = VOUCHING
+CANCELLATION_SYNC = 2  # questions about cancellations over ``back``, and the grace period that they allow
+LEVEL = CANCELLATION_SYNC
 
 
 def level_of(view: View, member: str) -> int:
@@ -58,6 +59,6 @@
                     outcome = await self.client.commit(guards, {self.key: {"level": LEVEL}}, [], self.pause * 4)
                     with trio.move_on_after(self.pause * 4):
                         await self.view.reach(outcome.ledger)
-                except Unavailable as error:
+                except StateServiceError as error:
                     log.debug("version not told yet: %s", error)
             await trio.sleep(self.pause / 4 if not self.view.synced else self.pause)
--- a/ladderfield/server.py
+++ b/ladderfield/server.py
@@ -8,20 +8,32 @@
 
 import trio
 
+from ladderfield.cancellation_sync import CancellationSync, MalformedAnswerError, parse_uids
 from ladderfield.fleet.cloud import Cloud, CloudTrouble
 from ladderfield.http import Reply, Request, Server
+from ladderfield.jobs.api import JobsApi
 from ladderfield.jobs.cancellations import Cancellations
-from ladderfield.jobs.chains import Chains
-from ladderfield.jobs.door import SUBMIT_S, Door
+from ladderfield.jobs.dependencies import DependencyGraph
 from ladderfield.jobs.model import FULL, TYPES, parse_types, types_record
-from ladderfield.leader.actor import Leader, Learnt, Sole
+from ladderfield.jobs.responses import SUBMIT_S
+from ladderfield.leader.actor import Leader
+from ladderfield.leader.messages import CancellationsLearned, NoOtherLeader
 from ladderfield.leadership import Leadership, Term
-from ladderfield.peers import CANCELLED, HEALTH, RELAY, SELF, VOUCH, BackServer, PeerLink, back_most
+from ladderfield.peers import (
+    CANCELLATION_NOTICE,
+    CANCELLATION_QUERY,
+    HEALTH,
+    RELAY,
+    SELF,
+    BackServer,
+    PeerLink,
+    back_most,
+)
 from ladderfield.rollout import Rollout
 from ladderfield.settings import Settings, address
-from ladderfield.state import StateClient, Unavailable, View
-from ladderfield.vouching import Strange, Vouching, parse_uids
-from ladderfield.workers.intake import ReportDesk
+from ladderfield.state import StateClient, StateServiceError
+from ladderfield.view import View
+from ladderfield.workers.report_handler import ReportHandler
 
 log = logging.getLogger(__name__)
 
@@ -40,20 +52,22 @@
         self.leadership = Leadership(settings, self.client, self.view)
         at_once = max(4, back_most(settings.cluster.quota.max_connections) // max(1, len(settings.peers)))
         self.links = {peer.member: PeerLink(peer, at_once) for peer in settings.peers}
-        self.chains = Chains(self.view.get)
+        self.chains = DependencyGraph(self.view.get)
         self.cancellations = Cancellations()
         self.view.followers += [self.chains.take, self.cancellations.take]
         self.rollout = Rollout(settings, self.client, self.view)
-        self.door = Door(settings, self.client, self.view, self.chains, self.rollout, self.cancellations, self.links)
-        self.reports = ReportDesk(settings, self.leadership, self.links)
-        self.vouching = Vouching(self.leadership, self.view, self.cancellations, self.links)
-        self.vouching.deliver = lambda uids: self.reports.tell_leader(Learnt(uids))
+        self.jobs_api = JobsApi(
+            settings, self.client, self.view, self.chains, self.rollout, self.cancellations, self.links
+        )
+        self.reports = ReportHandler(settings, self.leadership, self.links)
+        self.cancellation_sync = CancellationSync(self.leadership, self.view, self.cancellations, self.links)
+        self.cancellation_sync.deliver = lambda uids: self.reports.tell_leader(CancellationsLearned(uids))
 
     async def handle(self, request: Request) -> Reply:
         """Any request to ``bind``."""
         reply = await self.reports(request)
         if reply is None:
-            reply = await self.door(request)
+            reply = await self.jobs_api(request)
         return reply or Reply(404, {"error": "no such path"})
 
     async def handle_back(self, kind: int, status: int, body: bytes) -> tuple[int, bytes]:
@@ -63,13 +77,13 @@
         if kind == HEALTH:
             leads = self.leadership.term is not None or self.reports.inbox is not None
             epoch, leader = self.leadership.latest()
-            return (200 if self.door.state_ok else 503), SELF.pack(leads, epoch) + leader.encode()
-        if kind == VOUCH:
-            return self.vouching.answer(body)
-        if kind == CANCELLED:
+            return (200 if self.jobs_api.state_ok else 503), SELF.pack(leads, epoch) + leader.encode()
+        if kind == CANCELLATION_QUERY:
+            return self.cancellation_sync.answer(body)
+        if kind == CANCELLATION_NOTICE:
             try:
-                self.reports.tell_leader(Learnt(parse_uids(body)))
-            except Strange:
+                self.reports.tell_leader(CancellationsLearned(parse_uids(body)))
+            except MalformedAnswerError:
                 return 400, b""
             return 200, b""
         return 400, b""
@@ -82,21 +96,21 @@
             async with trio.open_nursery() as nursery:
                 for link in self.links.values():
                     nursery.start_soon(link.check, pause)
-                self.door.state_ok = await self.view.fresh(pause)
+                self.jobs_api.state_ok = await self.view.fresh(pause)
             for link in self.links.values():
                 self.leadership.told(*link.knows)
             if term is not None and not term.over.is_set():
-                if self.door.state_ok:
+                if self.jobs_api.state_ok:
                     term.knows(self.view.proven_at)
                 else:
-                    self.reports.tell_leader(Learnt(*await self.vouching.ask(term, pause)))
+                    self.reports.tell_leader(CancellationsLearned(*await self.cancellation_sync.ask(term, pause)))
             if (
                 term is not None
                 and term is self.leadership.term
                 and not any(link.leads for link in self.links.values())
             ):
                 # All were asked after our term began, so no earlier leader is left to keep leases alive.
-                self.reports.tell_leader(Sole())
+                self.reports.tell_leader(NoOtherLeader())
             await trio.sleep(pause)
 
     async def run_terms(self, terms: trio.MemoryReceiveChannel[Term]) -> None:
@@ -123,7 +137,7 @@
                     if parse_types(kinds):
                         await self.client.writes.take()
                         await self.client.commit({TYPES: 0}, {TYPES: kinds}, [], pause)
-                except (CloudTrouble, Unavailable) as error:
+                except (CloudTrouble, StateServiceError) as error:
                     log.info("machine types: %s", error)
             await trio.sleep(pause / 4 if self.view.get(TYPES) is None else pause)
 
@@ -134,13 +148,13 @@
             for actor in (
                 self.view.run,
                 self.view.run_reads,
-                self.door.acceptor.run,
+                self.jobs_api.submissions.acceptor.run,
                 partial(self.leadership.run, send),
                 partial(self.run_terms, receive),
                 self.rollout.run,
                 self.run_types,
                 self.run_health,
-                partial(self.vouching.run_notices, self.settings.cluster.workers.report_s / 2),
+                partial(self.cancellation_sync.run_notices, self.settings.cluster.workers.report_s / 2),
             ):
                 nursery.start_soon(self._keep, actor)
 
--- a/ladderfield/test_deploy.py
+++ b/ladderfield/test_deploy.py
@@ -53,8 +53,11 @@
 
 
 def test_nothing_is_compiled_when_a_controller_starts(checkout: Path) -> None:
-    """Guards the start of a controller that has a third of a core: with the compiled files of the libraries and of
-    the standard library out of sight, each start and restart took a second longer, in which submissions failed."""
+    """Guards the start of a controller that has a third of a core.
+
+    With the compiled files of the libraries and of the standard library out of sight, each start and restart took a
+    second longer, in which submissions failed.
+    """
     deploy = tomllib.loads((checkout / "deploy" / "service.toml").read_text())
     subprocess.run(["sh", "-c", deploy["build"]], cwd=checkout, check=True, timeout=120)
     interpreter = shlex.split(deploy["run"])[: -len(["run.py", "--config"])]
--- /dev/null
+++ b/ladderfield/test_documentation.py
@@ -0,0 +1,135 @@
+"""The tests, guards and modules that the documentation names exist."""
+
+from __future__ import annotations
+
+import ast
+import re
+from pathlib import Path
+
+PACKAGE = Path(__file__).parent
+DOCS = PACKAGE.parent / "docs"
+DESIGN = DOCS / "design.md"
+HEADING = "## Meetings of troubles"
+ABBREVIATIONS = {
+    "grace": "test_grace.py",
+    "cancelled": "test_cancelled.py",
+    "leaders": "test_leader_changes.py",
+    "consistency": "jobs/test_consistency.py",
+    "messages": "workers/test_old_messages.py",
+    "placement": "leader/test_placement.py",
+    "stranded": "leader/test_stranded.py",
+}
+WORDS = {"back", "cancel_s"}  # settings, no guards
+
+
+class Definitions(ast.NodeVisitor):
+    """All that a source file defines, by plain name and as ``Class.member``.
+
+    These are functions, classes, their members and their attributes.
+    """
+
+    def __init__(self) -> None:
+        self.names: set[str] = set()
+        self._classes: list[str] = []
+
+    def add(self, name: str) -> None:
+        """A name defined in the class at hand, if any."""
+        self.names.add(name)
+        if self._classes:
+            self.names.add(f"{self._classes[-1]}.{name}")
+
+    def visit_ClassDef(self, node: ast.ClassDef) -> None:
+        """A class and its members."""
+        self.add(node.name)
+        self._classes.append(node.name)
+        self.generic_visit(node)
+        self._classes.pop()
+
+    def visit_FunctionDef(self, node: ast.FunctionDef | ast.AsyncFunctionDef) -> None:
+        """A function or method."""
+        self.add(node.name)
+        self.generic_visit(node)
+
+    def visit_AsyncFunctionDef(self, node: ast.AsyncFunctionDef) -> None:
+        """The same of a coroutine."""
+        self.visit_FunctionDef(node)
+
+    def visit_Name(self, node: ast.Name) -> None:
+        """An assigned name."""
+        if isinstance(node.ctx, ast.Store):
+            self.add(node.id)
+
+    def visit_Attribute(self, node: ast.Attribute) -> None:
+        """An assigned attribute."""
+        if isinstance(node.ctx, ast.Store):
+            self.add(node.attr)
+        self.generic_visit(node)
+
+
+def defined_in(path: Path) -> set[str]:
+    """The names that a file defines, and the same behind the file's module name."""
+    if not path.exists():
+        return set()
+    visitor = Definitions()
+    visitor.visit(ast.parse(path.read_text(encoding="utf-8")))
+    return visitor.names | {f"{path.stem}.{name}" for name in visitor.names}
+
+
+def rows() -> list[tuple[str, str]]:
+    """Guard and test of each meeting in the table."""
+    section = DESIGN.read_text(encoding="utf-8").split(HEADING)[1].split("\n## ")[0]
+    lines = [line for line in section.splitlines() if line.startswith("| ")][2:]
+    cells = [[cell.strip() for cell in line.strip("|").split(" | ")] for line in lines]
+    assert all(len(row) == 3 for row in cells), "a row has three columns"
+    return [(row[1], row[2]) for row in cells]
+
+
+def code_spans(text: str) -> list[str]:
+    """What stands between backquotes."""
+    return re.findall(r"`([^`]+)`", text)
+
+
+def test_every_module_that_the_page_names_exists() -> None:
+    paths = {span for span in code_spans(DESIGN.read_text(encoding="utf-8")) if span.endswith(".py")}
+    assert len(paths) >= 20
+    assert {path for path in paths if not (PACKAGE / path).exists()} == set()
+
+
+def test_every_test_that_an_incident_names_exists() -> None:
+    pages = [page.read_text(encoding="utf-8") for page in (DOCS / "incidents").glob("*.md")]
+    named = [pair for page in pages for pair in re.findall(r"`(test_\w+)`\s+\(([\w/]+\.py)\)", page)]
+    assert len(named) >= 7
+    assert [(test, path) for test, path in named if test not in defined_in(PACKAGE / path)] == []
+    tests = set[str]().union(*(defined_in(path) for path in PACKAGE.rglob("test_*.py")))
+    assert {test for page in pages for test in re.findall(r"`(test_\w+)`", page)} <= tests
+
+
+def test_the_table_of_meetings_is_read() -> None:
+    assert len(rows()) >= 27
+
+
+def test_every_file_and_test_in_the_table_of_meetings_exists() -> None:
+    missing = []
+    for _, tests in rows():
+        path: Path | None = None
+        for word in re.findall(r"`[^`]+`|\b[a-z]+(?=: )", tests):
+            span = word.strip("`")
+            if span.endswith(".py"):
+                path = PACKAGE / span
+            elif span in ABBREVIATIONS:
+                path = PACKAGE / ABBREVIATIONS[span]
+            elif span.startswith("test_") and (path is None or span not in defined_in(path)):
+                missing.append(f"{path}: {span}")
+        if path is None or not path.exists():
+            missing.append(tests)
+    assert not missing
+
+
+def test_every_guard_in_the_table_of_meetings_exists() -> None:
+    sources = [
+        path for path in PACKAGE.rglob("*.py") if not path.name.startswith("test_") and path.parent.name != "testing"
+    ]
+    known = set[str]().union(*(defined_in(path) for path in sources))
+    guards = {span for guard, _ in rows() for span in code_spans(guard)} - WORDS
+    assert len(guards) >= 35
+    assert guards - known == set()
--- a/ladderfield/test_versions.py
+++ b/ladderfield/test_versions.py
@@ -1,5 +1,8 @@
-"""Old and new version side by side: fixed examples of what the version in production writes, read by this one; and what
-this one writes, read by a strict description of what the version in production takes."""
+"""Old and new version side by side.
+
+Fixed examples of what the version in production writes are read by this one; and what this one writes is read by a
+strict description of what the version in production takes.
+"""
 
 from __future__ import annotations
 
@@ -12,13 +15,14 @@
 
 from ladderfield.http import Request
 from ladderfield.jobs.model import JobSpec
-from ladderfield.jobs.test_jobs import _door
-from ladderfield.leader.test_desk import EPOCH_NOW, Stage, rung
 from ladderfield.leadership import Leadership
 from ladderfield.peers import HEALTH, RELAY, SELF, pack, unpack_head
 from ladderfield.rollout import VERSION
-from ladderfield.state import StateClient, View
+from ladderfield.state import StateClient
 from ladderfield.testing import job, settings
+from ladderfield.testing.jobs_api import serving_jobs_api
+from ladderfield.testing.leader import EPOCH_NOW, DeskHarness, rung
+from ladderfield.view import View
 
 # As the version in production writes it, byte for byte.
 JOB_RECORD = (
@@ -50,14 +54,14 @@
 
 
 def test_a_new_leader_takes_over_claims_replicas_and_ends_of_an_old_one() -> None:
-    stage = Stage(old_data())
-    array, service = stage.desk.jobs["req-000412"], stage.desk.jobs["req-000413"]
+    harness = DeskHarness(old_data())
+    array, service = harness.desk.jobs["req-000412"], harness.desk.jobs["req-000413"]
     assert array.finished == {0, 1, 4} and {claim.attempt & 0xFF for claim in array.claims.values()} == {2, 3}
     assert array.spec.needs is None and array.spec.deadline_s == 90.0 and not array.waits
     assert [claim.host for claim in service.claims.values()] == ["i-000003"]
-    assert stage.desk.teams.cpus == {"red": 4.0, "blue": 4.0}
+    assert harness.desk.teams.cpus == {"red": 4.0, "blue": 4.0}
     # A reap under way: the old leader has recorded task 4 and not yet reaped it.
-    orders = stage.report(
+    orders = harness.report(
         "i-000001", (rung(4, 25769803775, "exited", "done", "req-000412"), rung(2, 25769803778, uid="req-000412")),
         endpoint="10.1.0.2:9000",
     )  # fmt: skip
@@ -66,15 +70,15 @@
 
 @pytest.mark.parametrize("record", [DONE_RECORD, CANCELLED_RECORD])
 def test_ends_that_an_old_version_wrote_count(record: bytes) -> None:
-    stage = Stage(old_data(lf_f_req000001=record) | {"lf/f/req-000412": (msgspec.json.decode(record), 6)})
-    stage.submit("req-000414", waitsOn=["req-000412"])
-    assert bool(stage.desk.jobs["req-000414"].waits) == (record is CANCELLED_RECORD)
-    assert bool(stage.desk.orphaned) == (record is CANCELLED_RECORD)
+    harness = DeskHarness(old_data(lf_f_req000001=record) | {"lf/f/req-000412": (msgspec.json.decode(record), 6)})
+    harness.submit("req-000414", waitsOn=["req-000412"])
+    assert bool(harness.desk.jobs["req-000414"].waits) == (record is CANCELLED_RECORD)
+    assert bool(harness.desk.orphaned) == (record is CANCELLED_RECORD)
 
 
 async def test_an_old_epoch_and_an_old_answer_over_back_are_understood(monkeypatch: pytest.MonkeyPatch) -> None:
     async with trio.open_nursery() as nursery:
-        _, service = await _door(monkeypatch, nursery)
+        _, service = await serving_jobs_api(monkeypatch, nursery)
         client = StateClient(settings())
         view = View(client, settings())
         nursery.start_soon(view.run)
@@ -91,7 +95,7 @@
 # -- what the version in production takes -----------------------------------------------------------------------
 
 
-class OldSpec(msgspec.Struct):
+class OldSpec(msgspec.Struct, rename="camel"):
     """Fields that it needs, and those that may be absent; others it ignores."""
 
     uid: str
@@ -102,42 +106,52 @@
     rungs: Annotated[int, msgspec.Meta(ge=1, le=100_000)]
     cores: float
     cards: float
-    memoryGb: float
+    memory_gb: float
     bundle: str
-    sizeGb: float
-    oneZone: bool
+    size_gb: float
+    one_zone: bool
     spread: bool
     loaners: bool
-    expectS: float
-    markEveryS: float
-    markCostS: float
+    expect_s: float
+    mark_every_s: float
+    mark_cost_s: float
     flavours: list[str] | None = None
     yard: str | None = None
-    dueS: float | None = None
+    due_s: float | None = None
 
 
 class OldJob(msgspec.Struct, forbid_unknown_fields=True):
+    """An accepted job on a record."""
+
     spec: OldSpec
     at: float
     block: Annotated[int, msgspec.Meta(ge=1)]
 
 
 class OldJobs(msgspec.Struct, forbid_unknown_fields=True):
+    """A record of accepted jobs."""
+
     jobs: dict[str, OldJob]
 
 
 class OldEntry(msgspec.Struct, forbid_unknown_fields=True):
+    """A job on a page: its finished ranges and its claims."""
+
     d: list[tuple[int, int]] = []
     a: dict[str, tuple[int, str]] = {}
 
 
 class OldFinal(msgspec.Struct):
+    """A job's final state."""
+
     phase: Literal["done", "cancelled"]
     done: int = 0
     at: float = 0.0
 
 
 class OldEpoch(msgspec.Struct):
+    """The record of the epoch."""
+
     epoch: int
     member: str
     before: dict[str, float]
@@ -170,25 +184,25 @@
 
 
 def test_an_old_leader_takes_over_what_a_new_one_leaves() -> None:
-    stage = Stage()
-    stage.desk.pages.most = 1900
-    stage.submit("req-000001", rungs=40, owner="blue")
-    stage.submit("req-000002", rungs=1, shape="daemon", rank="production", owner="blue", cores=4.0)
-    stage.submit("req-000003", rungs=1, owner="blue")
-    stage.submit("req-000004", rungs=1, owner="blue", waitsOn=["req-000001"])
+    harness = DeskHarness()
+    harness.desk.pages.most = 1900
+    harness.submit("req-000001", rungs=40, owner="blue")
+    harness.submit("req-000002", rungs=1, shape="daemon", rank="production", owner="blue", cores=4.0)
+    harness.submit("req-000003", rungs=1, owner="blue")
+    harness.submit("req-000004", rungs=1, owner="blue", waitsOn=["req-000001"])
     for host in range(30):
-        stage.report(f"m{host}")
+        harness.report(f"m{host}")
     written: dict[str, Any] = {}
     for step in range(3):
-        while (txn := stage.ledger.collect(True)) is not None:
+        while (txn := harness.ledger.collect(True)) is not None:
             written |= txn.puts
-            stage.stamp += 1
-            stage.ledger.applied(txn, stage.stamp, 2.0)
-        for claim in [claim for one in stage.desk.jobs.values() for claim in one.claims.values()]:
+            harness.stamp += 1
+            harness.ledger.applied(txn, harness.stamp, 2.0)
+        for claim in [claim for one in harness.desk.jobs.values() for claim in one.claims.values()]:
             if not claim.job.spec.service and claim.index % 3 != step:
-                stage.desk.end(claim, True, 3.0)
+                harness.desk.end(claim, True, 3.0)
         if step == 1:
-            stage.tell("req-000003", "cancelled")
+            harness.tell("req-000003", "cancelled")
     for key, value in written.items():
         old_reads(key, value)
     pages = sorted(int(key.removeprefix("lf/p/")) for key in written if key.startswith("lf/p/"))
@@ -198,18 +212,18 @@
 
 async def test_an_old_version_reads_what_a_new_door_and_a_new_candidate_write(monkeypatch: pytest.MonkeyPatch) -> None:
     async with trio.open_nursery() as nursery:
-        door, service = await _door(monkeypatch, nursery)
-        nursery.start_soon(door.rollout.run)
+        api, service = await serving_jobs_api(monkeypatch, nursery)
+        nursery.start_soon(api.submissions.rollout.run)
         for changes in (
             {},
             {"dueS": 40.0, "flavours": ["m4"], "yard": "za"},
             {"shape": "daemon", "rank": "production"},
         ):
             uid = f"req-{len(service.keys):06}"
-            reply = await door(Request("POST", "/api/jobs", msgspec.json.encode(job(uid, **changes))))
+            reply = await api(Request("POST", "/api/jobs", msgspec.json.encode(job(uid, **changes))))
             assert reply is not None and reply.status == 201
-        await door(Request("POST", "/api/jobs/req-000001/cancel", b""))
-        leadership = Leadership(settings(), door.client, door.view)
+        await api(Request("POST", "/api/jobs/req-000001/cancel", b""))
+        leadership = Leadership(settings(), api.cancellations.client, api.lookup.view)
         await trio.sleep(1)
         term = await leadership._campaign()
         assert term is not None and term.epoch == 1
@@ -228,10 +242,12 @@
 
 
 def test_an_old_leader_would_start_what_waits_so_only_a_record_of_the_roll_out_keeps_it_off() -> None:
-    """Why the door asks the roll-out: to the old version such a record is a job like any other."""
+    """Why the jobs API asks the roll-out: to the old version such a record is a job like any other."""
     spec = msgspec.convert(job("req-000002", waitsOn=["req-000001"]), JobSpec)
     written = msgspec.to_builtins(spec)
-    assert written["waitsOn"] == ["req-000001"] and not hasattr(msgspec.convert(written, OldSpec), "waitsOn")
+    assert written["waitsOn"] == ["req-000001"] and "waitsOn" not in msgspec.to_builtins(
+        msgspec.convert(written, OldSpec)
+    )
     assert "dueS" not in written, "absent and null are the same to both, and the smaller records need the room"
 
 
@@ -240,5 +256,5 @@
     data = old_data()
     page = msgspec.json.decode(PAGE_RECORD)
     page["req-000412"]["a"] = {"3": [(EPOCH_NOW - 2) << 32, "i-000001"]}
-    stage = Stage(data | {"lf/p/1": (page, 6)})
-    assert {claim.attempt for claim in stage.desk.jobs["req-000412"].claims.values()} == {25769803778, 25769803779}
+    harness = DeskHarness(data | {"lf/p/1": (page, 6)})
+    assert {claim.attempt for claim in harness.desk.jobs["req-000412"].claims.values()} == {25769803778, 25769803779}
--- a/ladderfield/testing_cluster.py
+++ b/ladderfield/testing/cluster.py
@@ -1,5 +1,8 @@
-"""A whole cluster for the tests: three controllers, scripted state service, cloud and workers, with levers for what
-goes wrong. Two rules are looked at all the time: no task on two machines, no team over its limit."""
+"""A whole cluster for the tests, with levers for what goes wrong.
+
+Three controllers, scripted state service, cloud and workers. Two rules are looked at all the time: no task on two
+machines, no team over its limit.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,7 @@
 from ladderfield.http import Client, NoAnswer, Server
 from ladderfield.peers import BackServer, PeerLink
 from ladderfield.server import Controller
-from ladderfield.testing import CloudService, Net, StateService, Worker, job, settings
+from ladderfield.testing import CloudService, Network, StateService, Worker, job, settings
 
 
 class Cluster:
@@ -25,7 +28,7 @@
 
     def __init__(self, nursery: trio.Nursery) -> None:
         self.nursery = nursery
-        self.net = Net(nursery)
+        self.net = Network(nursery)
         self.state = StateService()
         self.cloud = CloudService(self._boot)
         self.scopes: dict[int, trio.CancelScope] = {}
@@ -87,12 +90,12 @@
         self.jobs[spec["uid"]] = spec
         status, _ = await self.call(node, "POST", "/api/jobs", spec)
         assert status == 201
-        return spec["uid"]
+        return str(spec["uid"])
 
     async def phase(self, node: int, uid: str) -> str:
         """What a poll says."""
         status, answer = await self.call(node, "GET", f"/api/jobs/{uid}")
-        return answer["phase"] if status == 200 else str(status)
+        return str(answer["phase"] if status == 200 else status)
 
     async def until(self, node: int, uid: str, phase: str, within: float) -> float:
         """Poll until a phase shows; how long it took."""
--- a/ladderfield/workers/test_old_messages.py
+++ b/ladderfield/workers/test_old_messages.py
@@ -8,10 +8,10 @@
 import pytest
 import trio
 
-from ladderfield.leader.test_desk import ABOUT, EPOCH_NOW, Stage, rung
-from ladderfield.testing import Worker, accepted, job
-from ladderfield.testing_cluster import Cluster, cluster
-from ladderfield.testing_looks import Looks
+from ladderfield.testing import StateService, Worker, accepted, job
+from ladderfield.testing.cluster import Cluster, cluster
+from ladderfield.testing.consistency import ConsistencyChecker
+from ladderfield.testing.leader import ABOUT, EPOCH_NOW, DeskHarness, rung
 
 REPORT_S = 2.0
 WRITERS = {
@@ -23,14 +23,48 @@
 }
 
 
-async def _asked_until(looks: Looks, verb: str, uid: str, status: tuple[int, ...]) -> None:
+async def _asked_until(checker: ConsistencyChecker, verb: str, uid: str, status: tuple[int, ...]) -> None:
     """A user who asks again elsewhere, as users do."""
     for number in range(60):
-        look = await looks.ask(number % 3, verb, uid)
-        if look is not None and look.status in status:
+        observation = await checker.ask(number % 3, verb, uid)
+        if observation is not None and observation.status in status:
             return
         await trio.sleep(1)
-    raise AssertionError(f"{verb} {uid}: {looks.seen.get(uid)}")
+    raise AssertionError(f"{verb} {uid}: {checker.seen.get(uid)}")
+
+
+class Unanswered:
+    """Transactions of one writer that are not answered: carried out after newer ones, or at once."""
+
+    def __init__(self, state: StateService, writer: str, late: bool) -> None:
+        self.state, self.writer = state, writer
+        self.most = self.left = 1 if writer == "elections" else 3
+        if late:
+            state.keeps = self._is_lost
+        else:
+            state.answer_s = lambda keys: math.inf if self._is_lost(keys) else 0.0
+
+    def _is_lost(self, keys: list[str]) -> bool:
+        found = self.left > 0 and any(key.startswith(WRITERS[self.writer]) for key in keys)
+        self.left -= found
+        return found
+
+    def carry_out(self) -> None:
+        """Carry out what was kept back; it has to do nothing."""
+        before = dict(self.state.keys)
+        assert not set(self.state.carry_out()) - {409}, "what is carried out after newer ones does nothing"
+        assert self.state.keys == before
+
+
+async def _elect_anew(whole: Cluster, unanswered: Unanswered) -> None:
+    """The leader ends, another is elected, and what was kept back is carried out then."""
+    first = whole.leader()
+    whole.crash(first)
+    while not any(one.reports.inbox is not None for one in whole.controllers.values()):
+        await trio.sleep(0.05)
+    unanswered.carry_out()  # while the lease of an election that was asked for again may last
+    whole.start(first)
+    await trio.sleep(6)
 
 
 @pytest.mark.parametrize("late", [True, False], ids=["late", "answer lost"])
@@ -40,27 +74,11 @@
 ) -> None:
     """Of each writer some are carried out only after newer ones, or at once, with others reading what they wrote."""
     async with cluster(monkeypatch) as whole:
-        state, looks = whole.state, Looks(whole)
-        most = left = 1 if writer == "elections" else 3
-
-        def lost(keys: list[str]) -> bool:
-            nonlocal left
-            found = left > 0 and any(key.startswith(WRITERS[writer]) for key in keys)
-            left -= found
-            return found
-
-        def carry_out() -> None:
-            before = dict(state.keys)
-            assert not set(state.carry_out()) - {409}, "what is carried out after newer ones does nothing"
-            assert state.keys == before
-
-        if late:
-            state.keeps = lost
-        else:
-            state.answer_s = lambda keys: math.inf if lost(keys) else 0.0
+        checker = ConsistencyChecker(whole)
+        unanswered = Unanswered(whole.state, writer, late)
         if writer == "rollout":
             for number in range(3):
-                state._apply({"guards": [], "apply": [{"put": f"lf/v/n{number}", "value": {"level": 0}}]})
+                whole.state._apply({"guards": [], "apply": [{"put": f"lf/v/n{number}", "value": {"level": 0}}]})
         steady, ends, off = "req-000001", "req-000002", "req-000003"
         whole.jobs |= {
             steady: job(steady, shape="daemon"),
@@ -68,30 +86,24 @@
             off: job(off, shape="daemon", cores=1.0),
         }
         for uid in whole.jobs:
-            await _asked_until(looks, "POST", uid, (200, 201))
+            await _asked_until(checker, "POST", uid, (200, 201))
         await whole.busy(off)
-        await looks.crowd(off, 0.1)
-        await _asked_until(looks, "cancel", off, (200,))
-        await looks.crowd(off, 0.1)
+        await checker.ask_concurrently(off, 0.1)
+        await _asked_until(checker, "cancel", off, (200,))
+        await checker.ask_concurrently(off, 0.1)
         await whole.until(0, ends, "done", 60)
-        await looks.crowd(ends, 0.1)
+        await checker.ask_concurrently(ends, 0.1)
         await trio.sleep(2 * REPORT_S)
-        carry_out()
-        first = whole.leader()
-        whole.crash(first)
-        while not any(one.reports.inbox is not None for one in whole.controllers.values()):
-            await trio.sleep(0.05)
-        carry_out()  # while the lease of an election that was asked for again may last
-        whole.start(first)
-        await trio.sleep(6)
-        assert left < most, "it was met"
+        unanswered.carry_out()
+        await _elect_anew(whole, unanswered)
+        assert unanswered.left < unanswered.most, "it was met"
         epoch = whole.controllers[whole.leader()].leadership.known_epoch()
         assert epoch <= 2 + (writer == "elections" and not late), "and ends no term"
         for uid, phase in ((steady, "running"), (ends, "done"), (off, "cancelled")):
-            await looks.crowd(uid, 0.05, ("GET", "POST"))
+            await checker.ask_concurrently(uid, 0.05, ("GET", "POST"))
             assert [await whole.phase(node, uid) for node in range(3)] == [phase] * 3
-        looks.check()
-        assert len(whole.starts(steady)) == 2 and len(whole.starts(ends)) == 4 and not looks.on(off)
+        checker.check()
+        assert len(whole.starts(steady)) == 2 and len(whole.starts(ends)) == 4 and not checker.on(off)
 
 
 async def _old(whole: Cluster, uid: str, what: str) -> tuple[Worker, list[dict[str, Any]]]:
@@ -159,12 +171,12 @@
     """The first thing that a new leader hears; the claim that it found on record is that of a later attempt."""
     earlier, later = 5 << 32, (6 << 32) + 3
     page = {"req-000001": {"a": {"0": [later, "m"]}}, "hosts": {"m": ABOUT}}
-    stage = Stage({"lf/j/req-000001": (accepted(job(rungs=1)), 4), "lf/p/0": (page, 5)})
-    orders = stage.report(rungs=(rung(0, earlier, "exited", cause),), epoch=EPOCH_NOW - 1)
-    assert [claim.attempt for claim in stage.machine().claims.values()] == [later]
-    assert not stage.desk.complete and all(order["verb"] != "launch" for order in orders)
-    stage.report(rungs=(rung(0, later),))
-    assert [claim.phase for claim in stage.machine().claims.values()] == ["running"]
+    harness = DeskHarness({"lf/j/req-000001": (accepted(job(rungs=1)), 4), "lf/p/0": (page, 5)})
+    orders = harness.report(rungs=(rung(0, earlier, "exited", cause),), epoch=EPOCH_NOW - 1)
+    assert [claim.attempt for claim in harness.machine().claims.values()] == [later]
+    assert not harness.desk.complete and all(order["verb"] != "launch" for order in orders)
+    harness.report(rungs=(rung(0, later),))
+    assert [claim.phase for claim in harness.machine().claims.values()] == ["running"]
 
 
 @pytest.mark.parametrize("cancelled", [False, True], ids=["goes on", "cancelled"])
@@ -174,13 +186,13 @@
 ) -> None:
     """A launch is on its way while its leader ends; the machine, which hung, then goes on with it."""
     async with cluster(monkeypatch) as whole:
-        looks = Looks(whole)
+        checker = ConsistencyChecker(whole)
         warm = await whole.submit(uid="req-000001", shape="daemon", rungs=1, loaners=False)
         worker = await whole.busy(warm)
         uid = "req-000002"
         whole.jobs[uid] = job(uid, shape="daemon", rungs=1, loaners=False)
         worker.hold, worker.loses_answers = when != "executed, answer held", True
-        await looks.ask(0, "POST", uid)
+        await checker.ask(0, "POST", uid)
         await trio.sleep(0.3)
         assert (uid in str(worker.held)) == worker.hold or whole.starts(uid)
         whole.net.cut.add(worker.address)  # it hangs
@@ -200,8 +212,8 @@
             assert not any(worker.late(body) for body in held)
         await trio.sleep(30)
         if cancelled:
-            assert not looks.on(uid), "ran_cancelled"
+            assert not checker.on(uid), "ran_cancelled"
             assert await whole.phase(left, uid) == "cancelled"
         else:
-            assert len(looks.on(uid)) == 1 and len(whole.starts(uid)) == 1
+            assert len(checker.on(uid)) == 1 and len(whole.starts(uid)) == 1
         assert whole.on()[f"{warm}/0"] == 1 and len(whole.starts(warm)) == 1, "the machine was not given up for it"
--- a/ladderfield/workers/test_workers.py
+++ b/ladderfield/workers/test_workers.py
@@ -2,23 +2,21 @@
 
 from __future__ import annotations
 
+from typing import Any
+
 import msgspec
 import pytest
 import trio
 
 from ladderfield.http import Request
 from ladderfield.leadership import EPOCH, LEADER, Leadership
-from ladderfield.peers import PeerLink
+from ladderfield.peers import PeerAnswer, PeerLink
 from ladderfield.settings import Peer
-from ladderfield.state import StateClient, View
-from ladderfield.testing import settings
-from ladderfield.workers.intake import ReportDesk
+from ladderfield.state import StateClient
+from ladderfield.testing import REPORT, settings
+from ladderfield.view import View
 from ladderfield.workers.report import parse_report
-
-RAW = {
-    "host": "i-1", "endpoint": "10.9.0.1:90", "flavour": "m4", "yard": "za", "loaners": False,
-    "tenure": 1, "tick": 1, "epoch": 0, "rungs": [],
-}  # fmt: skip
+from ladderfield.workers.report_handler import ReportHandler
 
 
 async def test_a_worker_is_sent_to_the_leader_first_and_relayed_when_it_comes_back() -> None:
@@ -27,17 +25,17 @@
     view = View(client, own)
     view.data = {LEADER: ({"member": "n0"}, 1), EPOCH: ({"epoch": 4}, 1)}
     link = PeerLink(Peer("n0", "10.0.0.1:81"))
-    desk = ReportDesk(own, Leadership(own, client, view), {"n0": link})
+    desk = ReportHandler(own, Leadership(own, client, view), {"n0": link})
     up, ticks = True, iter(range(100))
 
-    async def ask(kind: int, body: bytes, timeout: float, status: int = 0) -> tuple[int, bytes] | None:
-        return (200, b"{}") if up else None
+    async def ask(kind: int, body: bytes, timeout: float, status: int = 0) -> PeerAnswer | None:
+        return PeerAnswer(200, b"{}") if up else None
 
     link.ask = ask  # type: ignore[method-assign]
 
     async def after(pause: float, host: str, epoch: int) -> str:
         await trio.sleep(pause)
-        body = msgspec.json.encode(RAW | {"host": host, "epoch": epoch, "tick": next(ticks)})
+        body = msgspec.json.encode(REPORT | {"host": host, "epoch": epoch, "tick": next(ticks)})
         reply = await desk(Request("POST", "/v1/report", body))
         assert reply is not None
         return "relayed" if reply.status == 200 else "sent" if b"n0" in reply.body else "next"
@@ -63,9 +61,9 @@
     "change",
     [{"host": 3}, {"tenure": -1}, {"tick": 2**64}, {"rungs": 1}, {"rungs": [{"rung": "x", "try": 1, "phase": "y"}]}],
 )  # fmt: skip
-def test_malformed_reports_are_refused(change: dict) -> None:
+def test_malformed_reports_are_refused(change: dict[str, Any]) -> None:
     with pytest.raises(ValueError):
-        parse_report(msgspec.json.encode(RAW | change))
+        parse_report(msgspec.json.encode(REPORT | change))
 
 
 async def test_a_late_copy_tells_nothing_about_whom_a_worker_can_reach() -> None:
@@ -74,15 +72,15 @@
     view = View(client, own)
     view.data = {LEADER: ({"member": "n0"}, 1), EPOCH: ({"epoch": 4}, 1)}
     link = PeerLink(Peer("n0", "10.0.0.1:81"))
-    desk = ReportDesk(own, Leadership(own, client, view), {"n0": link})
+    desk = ReportHandler(own, Leadership(own, client, view), {"n0": link})
 
-    async def relayed(kind: int, body: bytes, timeout: float, status: int = 0) -> tuple[int, bytes] | None:
-        return 200, b"{}"
+    async def relayed(kind: int, body: bytes, timeout: float, status: int = 0) -> PeerAnswer | None:
+        return PeerAnswer(200, b"{}")
 
     link.ask = relayed  # type: ignore[method-assign]
-    body = msgspec.json.encode(RAW | {"host": "i-1", "tick": 9})
+    body = msgspec.json.encode(REPORT | {"host": "i-1", "tick": 9})
     for _ in range(3):
         reply = await desk(Request("POST", "/v1/report", body))
         assert reply is not None and reply.status == 421, "a copy of what was sent to the leader"
-    newer = await desk(Request("POST", "/v1/report", msgspec.json.encode(RAW | {"host": "i-1", "tick": 10})))
+    newer = await desk(Request("POST", "/v1/report", msgspec.json.encode(REPORT | {"host": "i-1", "tick": 10})))
     assert newer is not None and newer.status == 200, "came back itself: relayed"
