--- a/ladderfield/fleet/test_plan.py
+++ b/ladderfield/fleet/test_plan.py
@@ -2,14 +2,15 @@
 
 from __future__ import annotations
 
+from ladderfield.fleet.capacity import HIRES, Offer
 from ladderfield.fleet.cloud import RENT_MOST
-from ladderfield.fleet.plan import HIRES, Planner
+from ladderfield.fleet.plan import Planner
 from ladderfield.testing.leader import DeskHarness, launched, rung
 
 
 def count(planner: Planner, now: float, spot: bool | None = None) -> int:
     """How many machines the planner asks for."""
-    return sum(rental.count for rental in planner.rentals(now) if spot in (None, rental.offer[2]))
+    return sum(rental.count for rental in planner.rentals(now) if spot in (None, rental.offer.spot))
 
 
 def test_a_plan_asks_for_no_more_of_one_kind_than_a_round_of_hires_brings() -> None:
@@ -62,18 +63,18 @@
     harness.submit("req-000001", owner="blue", rungs=4, loaners=True)
     planner = Planner(harness.desk)
     offers = {rental.offer for rental in planner.rentals(1.0)}
-    assert {offer[2] for offer in offers} == {True}, "spot machines are cheaper"
+    assert {offer.spot for offer in offers} == {True}, "spot machines are cheaper"
     pauses = []
     now = 1.0
     for _ in range(2):
         for zone in ("za", "zb"):
-            planner.refuse(("m4", zone, True), now)
+            planner.refuse(Offer("m4", zone, True), now)
         until = next(step for step in range(1, 200) if count(planner, now + step, spot=True))
         pauses.append(until)
         now += until
     assert pauses[1] > pauses[0]
     for zone in ("za", "zb"):
-        planner.refuse(("m4", zone, True), now)
+        planner.refuse(Offer("m4", zone, True), now)
     machine = harness.desk.sessions.machine("m", "", "m4", "za", True, now)
     assert machine is not None and not count(planner, now, spot=True)
     machine.deleting = True
--- a/ladderfield/http.py
+++ b/ladderfield/http.py
@@ -172,8 +172,10 @@
             return Reply(500, {"error": "internal"})
 
     async def _receive(self, reader: Reader, stream: trio.abc.Stream, scope: trio.CancelScope) -> bool:
-        """Wait for a whole request, or for what can't be one; False when the peer is gone. The scope ends for one that
-        is silent for long or too slow."""
+        """Wait for a whole request, or for what can't be one; False when the peer is gone.
+
+        The scope ends for a peer that is silent for long or too slow.
+        """
         if reader.requests:
             return True
         # Over the limit a connection is kept just long enough to be told so.
--- a/ladderfield/jobs/accept.py
+++ b/ladderfield/jobs/accept.py
@@ -67,8 +67,11 @@
         self._some = trio.Event()
 
     async def accept(self, uid: str, record: dict[str, Any], until: float) -> Wanted:
-        """Have a job recorded; who asked for the same job meanwhile shares the answer. ``done`` may not be set when
-        the time is over: then it is not known whether the job is on record, and the user has to ask again."""
+        """Have a job recorded; who asked for the same job meanwhile shares the answer.
+
+        ``done`` may not be set when the time is over: then it is not known whether the job is on record, and the user
+        has to ask again.
+        """
         wanted = self._waiting.get(uid)
         if wanted is None:
             wanted = Wanted(uid, record)
@@ -84,8 +87,11 @@
         return wanted
 
     def writing(self, uid: str) -> bool:
-        """Whether a write with this job has been begun: it may be on record, and what follows from that too, however
-        long its answer takes. Who asks now can't be told by that answer alone how the job is."""
+        """Whether a write with this job has been begun.
+
+        It may be on record then, and what follows from that too, however long its answer takes. Who asks now can't be
+        told by that answer alone how the job is.
+        """
         wanted = self._waiting.get(uid)
         return wanted is not None and wanted.writing
 
--- a/ladderfield/jobs/model.py
+++ b/ladderfield/jobs/model.py
@@ -149,8 +149,10 @@
 
 
 def types_record(value: Any, most_bytes: float) -> Any:
-    """The cloud's machine types as they can be put on record: whole, or else only what is read of them, or else as many
-    as there is room for."""
+    """The cloud's machine types as they can be put on record.
+
+    Whole, or else only what is read of them, or else as many as there is room for.
+    """
     if len(encode(value)) <= most_bytes:
         return value
     kept = [msgspec.to_builtins(kind) for kind in parse_types(value).values()]
--- a/ladderfield/leader/cloud_tasks.py
+++ b/ladderfield/leader/cloud_tasks.py
@@ -6,8 +6,8 @@
 
 import trio
 
+from ladderfield.fleet.capacity import Rental
 from ladderfield.fleet.cloud import Cloud, CloudTrouble, NoCapacity
-from ladderfield.fleet.plan import Rental
 from ladderfield.jobs.model import FULL, TYPES, parse_types, types_record
 from ladderfield.leader.messages import DeletionAnswered, MachinesListed, Message, RentalAnswered
 from ladderfield.leadership import EPOCH, Term
--- a/ladderfield/leader/desk.py
+++ b/ladderfield/leader/desk.py
@@ -214,8 +214,10 @@
         self.finalised(job, CANCELLED)
 
     def cancelled(self, uid: str, since: float, now: float) -> None:
-        """Another controller says that it has put the job's cancellation on record. It counts like the record, and is
-        remembered until that is seen, as the job itself may be on record unseen too."""
+        """Another controller says that it has put the job's cancellation on record.
+
+        It counts like the record, and is remembered until that is seen, as the job itself may be on record unseen too.
+        """
         job = self.jobs.get(uid)
         if uid in self.heard or self.waiting.chains.cancelled(uid) or (job is not None and job.final is not None):
             return
@@ -357,9 +359,11 @@
         return made
 
     def _old_first(self, ready: list[Tier], machines: list[Machine], now: float) -> list[Tier]:
-        """Least work first would let large jobs wait for ever while small ones keep coming, and rank the low ranks.
-        So a part of the room goes to what has waited for long, whatever it is, after production replicas: half of it
-        to first tasks of jobs of which nothing has begun, half by age."""
+        """Put a part of the room aside for jobs that have waited for long, after production replicas.
+
+        Least work first would let large jobs wait for ever while small ones keep coming, and rank the low ranks. Half
+        of that part goes to first tasks of jobs of which nothing has begun, half by age, whatever the rank.
+        """
         by_age: dict[int, set[Job]] = {}
         for job in (job for tier in ready for job in tier.jobs):
             if self.outlook.old(job, now):
--- a/ladderfield/leader/fleet_manager.py
+++ b/ladderfield/leader/fleet_manager.py
@@ -7,8 +7,9 @@
 
 import trio
 
+from ladderfield.fleet.capacity import Offer, Rental
 from ladderfield.fleet.cloud import DELETE_MOST, RENT_MOST
-from ladderfield.fleet.plan import Offer, Planner, Rental
+from ladderfield.fleet.plan import Planner
 from ladderfield.leader.cloud_tasks import CloudTasks
 from ladderfield.leader.desk import Desk
 from ladderfield.leader.dispatcher import Dispatcher
--- a/ladderfield/leader/messages.py
+++ b/ladderfield/leader/messages.py
@@ -7,8 +7,8 @@
 import msgspec
 import trio
 
+from ladderfield.fleet.capacity import Offer
 from ladderfield.fleet.cloud import Listed
-from ladderfield.fleet.plan import Offer
 from ladderfield.leader.ledger import Transaction
 from ladderfield.state import Outcome
 from ladderfield.view import Change
--- a/ladderfield/leader/outlook.py
+++ b/ladderfield/leader/outlook.py
@@ -88,8 +88,11 @@
         return min((aim for aim in aims if aim >= earliest), default=None)
 
     def rating(self, job: Job, now: float) -> tuple[bool, int]:
-        """For ordering: what can still be on time goes first, least work first, so that under overload as many jobs
-        as possible are; then the rest, by age. Both in coarse steps, within which the design's pick decides."""
+        """For ordering: what can still be on time goes first, then the rest.
+
+        Of what can be on time the least work goes first, so that under overload as many jobs as possible are; the rest
+        goes by age. Both in coarse steps, within which the design's pick decides.
+        """
         if job.spec.service:
             return False, 0
         if self.due(job, now) is None:
--- a/ladderfield/leadership.py
+++ b/ladderfield/leadership.py
@@ -74,8 +74,11 @@
         return self.may_answer(now) and now < self.renewed_at + self.ttl / CLOCKS
 
     def may_answer(self, now: float) -> bool:
-        """Whether reports may be answered, which keeps tasks alive for lease_s more. Guards ``ran_cancelled``: others
-        confirm cancellations that this controller, cut off from the state service, may never hear of."""
+        """Whether reports may be answered, which keeps tasks alive for lease_s more.
+
+        Guards ``ran_cancelled``: others confirm cancellations that this controller, cut off from the state service, may
+        never hear of.
+        """
         until = self.known_at + self.grace if self.grace > 0 else self.renewed_at + self.ttl / CLOCKS
         return not self.over.is_set() and now < until
 
@@ -110,8 +113,11 @@
         return max(recorded, self._told, key=lambda known: known[0])
 
     def told(self, epoch: int, leader: str) -> None:
-        """Another controller says who is leader. It counts where our own view is behind, that is where the state
-        service does not serve us; and never against a lease that is surely ours."""
+        """Another controller says who is leader.
+
+        It counts where our own view is behind, that is where the state service does not serve us; and never against a
+        lease that is surely ours.
+        """
         if epoch <= max(self._told[0], self.known_epoch()) or not leader or epoch >= EPOCH_MOST:
             return
         self._told = (epoch, leader)
@@ -132,8 +138,10 @@
         return int((self.view.get(EPOCH) or {}).get("epoch", 0))
 
     def _earlier(self) -> dict[str, float]:
-        """Earlier leaders that nobody has seen the end of, and until when they may go on answering workers. Only a
-        hint where not to be hasty; what is safe does not depend on clocks."""
+        """Earlier leaders that nobody has seen the end of, and until when they may go on answering workers.
+
+        Only a hint where not to be hasty; what is safe does not depend on clocks.
+        """
         record, now = self.view.get(EPOCH) or {}, time.time()
         earlier = {member: until for member, until in record.get("before", {}).items() if until > now}
         if record.get("member"):
--- a/ladderfield/queues/pick.py
+++ b/ladderfield/queues/pick.py
@@ -103,8 +103,10 @@
         job.undealt = []
 
     def put_back(self, job: Job, index: int) -> None:
-        """A task is free again; it is dealt anew. While its block is not open yet, opening it will do that: a task
-        that is queued twice would be started twice."""
+        """A task is free again; it is dealt anew.
+
+        While its block is not open yet, opening it will do that: a task that is queued twice would be started twice.
+        """
         if index // job.block < job.next_block:
             job.undealt.append(index)
 
@@ -129,8 +131,10 @@
         return min(here, key=lambda job: (-locality(job, machine), job.uid)) if here else None
 
     def pull(self, machine: Machine, jobs: set[Job]) -> tuple[Job, int, str] | None:
-        """What a free machine does next, out of ``jobs`` that it may run now: its own queue first, then help for a
-        straggler."""
+        """What a free machine does next, out of ``jobs`` that it may run now.
+
+        Its own queue goes first, then help for a straggler.
+        """
         job = self._pick(machine.queue, machine, jobs)
         if job is not None:
             return self._take(job, machine)
@@ -152,8 +156,10 @@
 
 
 class Tier:
-    """Jobs of equal standing, grouped by what decides where their tasks fit, so that a machine is asked once for
-    all jobs of one kind."""
+    """Jobs of equal standing.
+
+    They are grouped by what decides where their tasks fit, so that a machine is asked once for all jobs of one kind.
+    """
 
     def __init__(self, owed: bool, jobs: set[Job], share: Share | None = None, first_only: bool = False) -> None:
         self.owed, self.jobs, self.share = owed, jobs, share
@@ -191,8 +197,10 @@
 
 
 def tiers(jobs: Iterable[Job], teams: Teams, rating: Callable[[Job], tuple[bool, int]], now: float) -> list[Tier]:
-    """Jobs that may start tasks now, grouped in the order of guarantee, rank and ``rating``; with each group whether
-    it is owed to its team. Ratings are coarse, so that within a group the design's pick decides.
+    """Jobs that may start tasks now, grouped in the order of guarantee, rank and ``rating``.
+
+    With each group stands whether it is owed to its team. Ratings are coarse, so that within a group the design's pick
+    decides.
     """
     groups: dict[tuple, set[Job]] = {}
     for job in jobs:
--- a/ladderfield/queues/work.py
+++ b/ladderfield/queues/work.py
@@ -196,8 +196,10 @@
         self.zones[claim.zone] -= 1
 
     def run_s(self, bias: float = 1.0) -> float:
-        """Expected run time of a task: the middle of what was seen, else the owner's estimate, set right by how
-        far off the estimates of its class were lately."""
+        """Expected run time of a task: the middle of what was seen, else the owner's estimate.
+
+        The estimate is set right by how far off the estimates of its class were lately.
+        """
         if self.finished_s:
             if self._usual[0] != len(self.finished_s):
                 self._usual = (len(self.finished_s), sorted(self.finished_s)[len(self.finished_s) // 2])
--- a/ladderfield/server.py
+++ b/ladderfield/server.py
@@ -159,8 +159,11 @@
                 nursery.start_soon(self._keep, actor)
 
     async def _keep(self, actor: Callable[[], Awaitable[None]]) -> None:
-        """Run an actor for ever. A mistake in one is told and costs a pause, not the process, nor (worse) the actor:
-        a controller that looks well but no longer follows the state service would never answer again."""
+        """Run an actor for ever.
+
+        A mistake in one is told and costs a pause, not the process, nor (worse) the actor: a controller that looks well
+        but no longer follows the state service would never answer again.
+        """
         while True:
             try:
                 await actor()
