--- a/ladderfield/cli.py
+++ b/ladderfield/cli.py
@@ -11,7 +11,7 @@
 import trio
 
 from ladderfield import __version__
-from ladderfield.settings import BadSettings, load
+from ladderfield.settings import SettingsError, load
 
 
 @click.group(context_settings={"auto_envvar_prefix": "LADDERFIELD"})
@@ -44,7 +44,7 @@
     )
     try:
         settings = load(config)
-    except BadSettings as error:
+    except SettingsError as error:
         click.echo(f"ladderfield: {error}", err=True)
         raise SystemExit(2) from None
     from ladderfield.server import serve as run  # the settings are checked before the slow imports
--- a/ladderfield/fleet/cloud.py
+++ b/ladderfield/fleet/cloud.py
@@ -8,18 +8,18 @@
 import msgspec
 
 from ladderfield.budget import Budget
-from ladderfield.http import Client, NoAnswer, decode_object
+from ladderfield.http import Client, NoAnswerError, decode_object
 from ladderfield.settings import Settings, address
 
 RENT_MOST, DELETE_MOST, LIST_MOST = 50, 100, 500  # the protocol's bounds per call
 CALL_S = 4.0  # how long an answer is worth waiting for
 
 
-class CloudTrouble(Exception):
+class CloudError(Exception):
     """No usable answer; the request may have been carried out."""
 
 
-class NoCapacity(Exception):
+class NoCapacityError(Exception):
     """None to be had of this type, zone and kind."""
 
 
@@ -50,13 +50,13 @@
         await self.budget.take(urgent=urgent)
         if may is not None and not may():
             # Asked after the wait: a leader that stood still meanwhile may have a successor, who decides anew.
-            raise CloudTrouble("no longer ours to decide")
+            raise CloudError("no longer ours to decide")
         try:
             status, data = await self._client.call(method, target, body, CALL_S)
             answer = decode_object(data) if data else {}
-        except NoAnswer as error:
+        except NoAnswerError as error:
             await self._client.drop()
-            raise CloudTrouble(str(error)) from None
+            raise CloudError(str(error)) from None
         if status == 429:
             self.budget.drain()
         return status, answer
@@ -66,7 +66,7 @@
         status, answer = await self._call("GET", "/machine_types", None)
         kinds = answer.get("flavours")
         if status != 200 or not isinstance(kinds, list):
-            raise CloudTrouble(f"machine types: {status}")
+            raise CloudError(f"machine types: {status}")
         return kinds
 
     async def rent(self, name: str, kind: str, zone: str, spot: bool, count: int, may: Callable[[], bool]) -> list[str]:
@@ -74,17 +74,17 @@
         body = {"hire": name, "flavour": kind, "yard": zone, "loaners": spot, "howMany": count}
         status, answer = await self._call("POST", "/machines", body, may=may)
         if status == 503 and answer.get("error") == "no capacity":
-            raise NoCapacity
+            raise NoCapacityError
         hosts = answer.get("hosts")
         if status != 200 or not isinstance(hosts, list) or not all(isinstance(host, str) for host in hosts):
-            raise CloudTrouble(f"hire {name}: {status}")
+            raise CloudError(f"hire {name}: {status}")
         return hosts
 
     async def delete(self, hosts: list[str], may: Callable[[], bool]) -> None:
         """Give machines up; once this returns they and all on them are gone."""
         status, _ = await self._call("POST", "/machines/delete", {"hosts": hosts}, urgent=True, may=may)
         if status != 200:
-            raise CloudTrouble(f"delete: {status}")
+            raise CloudError(f"delete: {status}")
 
     async def list(self) -> list[Listed]:
         """All machines the cloud lists."""
@@ -94,11 +94,11 @@
             target = f"/machines?limit={LIST_MOST}" + (f"&after={after}" if after else "")
             status, answer = await self._call("GET", target, None)
             if status != 200:
-                raise CloudTrouble(f"list: {status}")
+                raise CloudError(f"list: {status}")
             try:
                 page = msgspec.convert(answer.get("hosts"), list[Listed])
             except msgspec.ValidationError as error:
-                raise CloudTrouble(f"list: {error}") from None
+                raise CloudError(f"list: {error}") from None
             result += page
             if not answer.get("hasNext") or not page:
                 return result
--- a/ladderfield/fleet/test_cloud.py
+++ b/ladderfield/fleet/test_cloud.py
@@ -7,7 +7,7 @@
 import pytest
 import trio
 
-from ladderfield.fleet.cloud import Cloud, CloudTrouble
+from ladderfield.fleet.cloud import Cloud, CloudError
 from ladderfield.testing import settings
 
 
@@ -28,6 +28,6 @@
     assert await cloud.rent("h-1", "m4", "za", False, 1, may) == ["i-1"]
     await cloud.budget.take(100, urgent=True)
     for act in (cloud.rent("h-2", "m4", "za", False, 1, may), cloud.delete(["i-1"], may)):
-        with pytest.raises(CloudTrouble):
+        with pytest.raises(CloudError):
             await act
     assert calls == ["/machines"]
--- a/ladderfield/http.py
+++ b/ladderfield/http.py
@@ -194,7 +194,7 @@
         return True
 
 
-class NoAnswer(Exception):
+class NoAnswerError(Exception):
     """No usable answer came: the request may have been carried out, or may still be."""
 
 
@@ -218,7 +218,7 @@
         self._origin = f"{host}:{port}"
 
     async def call(self, method: str, target: str, body: Any, timeout: float) -> tuple[int, bytes]:
-        """Status and body of the answer; NoAnswer if none comes in time.
+        """Status and body of the answer; NoAnswerError if none comes in time.
 
         A kept connection that the peer closed meanwhile is not tried again here: whether the request was
         carried out is then unknown, and only the caller knows whether a repeat is harmless.
@@ -227,9 +227,9 @@
             with trio.fail_after(timeout):
                 return await self._call(method, target, body)
         except (OSError, trio.BrokenResourceError, trio.ClosedResourceError) as error:
-            raise NoAnswer(f"{method} {target}: {error or type(error).__name__}") from None
+            raise NoAnswerError(f"{method} {target}: {error or type(error).__name__}") from None
         except (trio.TooSlowError, h11.ProtocolError) as error:
-            raise NoAnswer(f"{method} {target}: {type(error).__name__} {error}") from None
+            raise NoAnswerError(f"{method} {target}: {type(error).__name__} {error}") from None
 
     async def _call(self, method: str, target: str, body: Any) -> tuple[int, bytes]:
         if self._idle:
@@ -238,39 +238,46 @@
             stream, connection = await connect(self.host, self.port), h11.Connection(h11.CLIENT)
         done = False
         try:
-            payload = b"" if body is None else encode(body)
-            headers = [("Host", self._origin), ("Content-Length", str(len(payload)))]
-            data = connection.send(h11.Request(method=method, target=target, headers=headers)) or b""
-            if payload:
-                data += connection.send(h11.Data(data=payload)) or b""
-            data += connection.send(h11.EndOfMessage()) or b""
-            await stream.send_all(data)
-            status, parts, size = 0, [], 0
-            while True:
-                event = connection.next_event()
-                if event is h11.NEED_DATA:
-                    connection.receive_data(bytes(await stream.receive_some(READ_SIZE)))
-                elif isinstance(event, h11.Response):
-                    status = event.status_code
-                elif isinstance(event, h11.Data):
-                    size += len(event.data)
-                    if size > self.limit:
-                        raise OSError("the answer is too large")
-                    parts.append(bytes(event.data))
-                elif isinstance(event, h11.EndOfMessage):
-                    break
-                elif isinstance(event, h11.ConnectionClosed):
-                    raise OSError("closed before an answer")
+            await stream.send_all(self._request(connection, method, target, body))
+            status, answer = await self._response(connection, stream)
             if connection.our_state is h11.DONE and connection.their_state is h11.DONE:
                 connection.start_next_cycle()
                 if len(self._idle) < self.keep:
                     self._idle.append((stream, connection))
                     done = True
-            return status, b"".join(parts)
+            return status, answer
         finally:
             if not done:
                 await trio.aclose_forcefully(stream)
 
+    def _request(self, connection: h11.Connection, method: str, target: str, body: Any) -> bytes:
+        """The bytes of a request."""
+        payload = b"" if body is None else encode(body)
+        headers = [("Host", self._origin), ("Content-Length", str(len(payload)))]
+        data = connection.send(h11.Request(method=method, target=target, headers=headers)) or b""
+        if payload:
+            data += connection.send(h11.Data(data=payload)) or b""
+        return data + (connection.send(h11.EndOfMessage()) or b"")
+
+    async def _response(self, connection: h11.Connection, stream: trio.abc.Stream) -> tuple[int, bytes]:
+        """Read a response to its end; its status and body."""
+        status, parts, size = 0, [], 0
+        while True:
+            event = connection.next_event()
+            if event is h11.NEED_DATA:
+                connection.receive_data(bytes(await stream.receive_some(READ_SIZE)))
+            elif isinstance(event, h11.Response):
+                status = event.status_code
+            elif isinstance(event, h11.Data):
+                size += len(event.data)
+                if size > self.limit:
+                    raise OSError("the answer is too large")
+                parts.append(bytes(event.data))
+            elif isinstance(event, h11.EndOfMessage):
+                return status, b"".join(parts)
+            elif isinstance(event, h11.ConnectionClosed):
+                raise OSError("closed before an answer")
+
     async def drop(self) -> None:
         """Close the kept connections (after a failure they are suspect)."""
         while self._idle:
@@ -278,11 +285,11 @@
 
 
 def decode_object(body: bytes) -> dict[str, Any]:
-    """A JSON object from a service's answer; NoAnswer if it is anything else."""
+    """A JSON object from a service's answer; NoAnswerError if it is anything else."""
     try:
         value = msgspec.json.decode(body)
     except msgspec.DecodeError:
-        raise NoAnswer("the answer is not JSON") from None
+        raise NoAnswerError("the answer is not JSON") from None
     if not isinstance(value, dict):
-        raise NoAnswer("the answer is not an object")
+        raise NoAnswerError("the answer is not an object")
     return value
--- a/ladderfield/jobs/accept.py
+++ b/ladderfield/jobs/accept.py
@@ -133,33 +133,43 @@
         try:
             outcome = await self.client.commit(guards, {key: value}, [], self.wait_s * ANSWER)
         except WriteRefusedError as error:
-            # It would be refused again. Less of it may not be; a job that stands alone is the caller's to think over.
-            log.error("%d jobs can't be written: %s", len(batch), error)
-            self.most_jobs = max(1, len(batch) // 2)
-            if len(batch) == 1:
-                self._answer(batch[0], None)
-            return
+            self._refused(batch, error)
         except StateServiceError as error:
-            log.debug("%d jobs not written yet: %s", len(batch), error)
-            if trio.current_time() - self.client.answered_at < self.wait_s * HOPEFUL:
-                await trio.sleep(self.wait_s * PAUSE)
+            await self._unanswered(batch, error)
+        else:
+            if outcome.failed is None:
+                for wanted in batch:
+                    wanted.written_at = outcome.ledger
+                    self._answer(wanted, 0)
             else:
-                # Nobody can be served now; all are told at once to come back.
-                for wanted in list(self._waiting.values()):
-                    self._answer(wanted, None)
-            return
-        if outcome.failed is None:
-            for wanted in batch:
-                wanted.written_at = outcome.ledger
-                self._answer(wanted, 0)
+                await self._known_in_part(batch, key, outcome.ledger, outcome.failed)
+
+    def _refused(self, batch: list[Wanted], error: WriteRefusedError) -> None:
+        """It would be refused again. Less of it may not be; a job that stands alone is the caller's to think over."""
+        log.error("%d jobs can't be written: %s", len(batch), error)
+        self.most_jobs = max(1, len(batch) // 2)
+        if len(batch) == 1:
+            self._answer(batch[0], None)
+
+    async def _unanswered(self, batch: list[Wanted], error: StateServiceError) -> None:
+        """Try again soon if the state service answered lately; else nobody can be served now, and all are told so."""
+        log.debug("%d jobs not written yet: %s", len(batch), error)
+        if trio.current_time() - self.client.answered_at < self.wait_s * HOPEFUL:
+            await trio.sleep(self.wait_s * PAUSE)
             return
-        # Some are known: decided already, or written by an earlier copy of this very write or by another door. The
-        # others are written anew.
+        for wanted in list(self._waiting.values()):
+            self._answer(wanted, None)
+
+    async def _known_in_part(self, batch: list[Wanted], key: str, ledger: int, failed: list[str]) -> None:
+        """Answer for those that are known; the others are written anew.
+
+        A job may be decided already, or on record by an earlier copy of this very write or by another controller.
+        """
         with trio.move_on_after(self.wait_s * ANSWER):
-            await self.view.reach(outcome.ledger)
+            await self.view.reach(ledger)
         for wanted in batch:
-            if FINAL + wanted.uid in outcome.failed or key == JOB + wanted.uid or wanted.uid in self.chains:
-                self._answer(wanted, outcome.ledger)
+            if FINAL + wanted.uid in failed or key == JOB + wanted.uid or wanted.uid in self.chains:
+                self._answer(wanted, ledger)
 
     def _answer(self, wanted: Wanted, known_at: int | None) -> None:
         wanted.known_at = known_at
--- a/ladderfield/jobs/model.py
+++ b/ladderfield/jobs/model.py
@@ -81,23 +81,23 @@
         return gb / max(self.fetch_gb_per_s, 1e-3)
 
 
-class Malformed(Exception):
+class MalformedJobError(Exception):
     """Not a job: answered 400."""
 
 
 def parse(body: bytes) -> JobSpec:
-    """The submitted job, or Malformed with the reason."""
+    """The submitted job, or MalformedJobError with the reason."""
     try:
         spec = msgspec.json.decode(body, type=JobSpec)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise Malformed(str(error)) from None
+        raise MalformedJobError(str(error)) from None
     if not valid_uid(spec.uid):
-        raise Malformed("not a job id - at `$.uid`")
+        raise MalformedJobError("not a job id - at `$.uid`")
     if not spec.needs:
         return msgspec.structs.replace(spec, needs=None)
     for uid in spec.needs:
         if not valid_uid(uid) or uid == spec.uid:
-            raise Malformed("not the ids of other jobs - at `$.waitsOn`")
+            raise MalformedJobError("not the ids of other jobs - at `$.waitsOn`")
     return msgspec.structs.replace(spec, needs=list(dict.fromkeys(spec.needs)))
 
 
--- a/ladderfield/jobs/submission.py
+++ b/ladderfield/jobs/submission.py
@@ -18,7 +18,7 @@
     TYPES,
     JobSpec,
     MachineType,
-    Malformed,
+    MalformedJobError,
     block_size,
     impossible,
     parse,
@@ -55,7 +55,7 @@
         """The answer to a submission."""
         try:
             spec = parse(body)
-        except Malformed as error:
+        except MalformedJobError as error:
             return Reply(400, {"error": str(error)})
         if not self.view.synced:
             return busy(1)
--- a/ladderfield/jobs/test_jobs.py
+++ b/ladderfield/jobs/test_jobs.py
@@ -10,7 +10,7 @@
 
 from ladderfield.http import Client, Request
 from ladderfield.jobs.api import JobsApi
-from ladderfield.jobs.model import JobSpec, Malformed, impossible, parse, parse_types
+from ladderfield.jobs.model import JobSpec, MalformedJobError, impossible, parse, parse_types
 from ladderfield.settings import Team
 from ladderfield.testing import TYPES, job
 from ladderfield.testing.jobs_api import serving_jobs_api
@@ -28,23 +28,23 @@
     ],
 )  # fmt: skip
 def test_malformed_jobs_are_refused(change: dict[str, Any]) -> None:
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedJobError):
         parse(msgspec.json.encode(job(**change)))
 
 
 @pytest.mark.parametrize("body", [b"", b"[]", b"{", b'{"cores": NaN}', b"\xff\xfe", b"[" * 60_000, b"1e999"])
 def test_what_is_no_object_is_refused(body: bytes) -> None:
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedJobError):
         parse(body)
 
 
 def test_infinite_amounts_and_missing_fields_are_refused() -> None:
     text = msgspec.json.encode(job())
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedJobError):
         parse(text.replace(b'"cores":2.0', b'"cores":1e999'))
     short = job()
     del short["bundle"]
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedJobError):
         parse(msgspec.json.encode(short))
 
 
--- a/ladderfield/jobs/test_needs.py
+++ b/ladderfield/jobs/test_needs.py
@@ -11,7 +11,7 @@
 from ladderfield.http import Reply, Request
 from ladderfield.jobs.accept import Acceptor
 from ladderfield.jobs.api import JobsApi
-from ladderfield.jobs.model import Malformed, parse
+from ladderfield.jobs.model import MalformedJobError, parse
 from ladderfield.testing import StateService, accepted, job, settings
 from ladderfield.testing.jobs_api import serving_jobs_api
 
@@ -21,7 +21,7 @@
 
 @pytest.mark.parametrize("needs", ["req-000002", 7, [7], ["job-1"], {}, ["req-000001"], [["req-000002"]], ["req-1/.."]])
 def test_malformed_needs_are_refused(needs: Any) -> None:
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedJobError):
         parse(msgspec.json.encode(job(A, waitsOn=needs)))
 
 
--- a/ladderfield/leader/cloud_tasks.py
+++ b/ladderfield/leader/cloud_tasks.py
@@ -7,7 +7,7 @@
 import trio
 
 from ladderfield.fleet.capacity import Rental
-from ladderfield.fleet.cloud import Cloud, CloudTrouble, NoCapacity
+from ladderfield.fleet.cloud import Cloud, CloudError, NoCapacityError
 from ladderfield.jobs.model import FULL, TYPES, parse_types, types_record
 from ladderfield.leader.messages import DeletionAnswered, MachinesListed, Message, RentalAnswered
 from ladderfield.leadership import EPOCH, Term
@@ -44,7 +44,7 @@
         while True:
             try:
                 await self.inbox.send(MachinesListed(await self.cloud.list()))
-            except CloudTrouble as error:
+            except CloudError as error:
                 log.debug("list: %s", error)
             await trio.sleep(pause)
 
@@ -60,7 +60,7 @@
                     guards = {EPOCH: self.term.stamp, TYPES: self.view.stamp(TYPES)}
                     await self.client.commit(guards, {TYPES: kinds}, [], self.report_s)
                 await trio.sleep(TYPES_EVERY * self.report_s)
-            except (CloudTrouble, StateServiceError) as error:
+            except (CloudError, StateServiceError) as error:
                 log.info("machine types: %s", error)
                 await trio.sleep(self.report_s)
 
@@ -76,11 +76,11 @@
                 refused = len(hosts) < count
                 log.info("hire %s: %d of %d %s in %s, spot %s: %s", name, len(hosts), count, kind, zone, spot, hosts)
                 break
-            except NoCapacity:
+            except NoCapacityError:
                 log.info("hire %s: no %s in %s, spot %s", name, kind, zone, spot)
                 refused = True
                 break
-            except CloudTrouble as error:
+            except CloudError as error:
                 log.info("hire %s: %s", name, error)
                 await trio.sleep(RETRY * self.report_s)
         await self.inbox.send(RentalAnswered(name, rental.offer, hosts, refused))
@@ -90,7 +90,7 @@
         try:
             await self.cloud.delete(hosts, self._may_start)
             confirmed = True
-        except CloudTrouble as error:
+        except CloudError as error:
             log.info("delete %s: %s", hosts, error)
             confirmed = False
             await trio.sleep(RETRY * self.report_s)
--- a/ladderfield/leader/desk.py
+++ b/ladderfield/leader/desk.py
@@ -334,30 +334,40 @@
         # Spot machines ask first, then those that a replica keeps up anyway, then small and full ones, so that the
         # dear and the empty run dry and can be returned.
         free.sort(key=lambda one: (not one.spot, not one.keeps_up, one.kind.price, one.cpus / one.kind.cpus, one.host))
-        # After a takeover everybody is late, as workers first have to find the new leader.
-        late = OVERDUE * self.report_s if now - self.term_from > SILENT * self.report_s else math.inf
-        prompt = {one for one in machines if one.fresh_at is not None and now - one.fresh_at <= late}
-        made = 0
-        for tier in ready:
-            asking = tier.candidates(one for one in free if tier.rank > 0 or one in prompt)
-            for score in (1, 0):
-                if score == 0 and tier.rank == 0:
-                    for job in tier.jobs:
-                        self.room.for_replicas(job, prompt, now)
-                    # A replica whose image has to be fetched starts soonest where that goes quickest.
-                    asking.sort(key=lambda one: -one.kind.fetch_gb_per_s)
-                for machine in asking:
-                    if now >= machine.hold_until or tier.rank <= machine.hold_rank:
-                        made += self._fill(machine, tier, score, now)
-            if tier.owed:
-                for job in sorted(tier.jobs, key=lambda one: one.uid):
-                    if job.queued and now - job.since > OWED * self.report_s:
-                        self.room.for_guarantee(job, machines, now)
+        prompt = self._prompt(machines, now)
+        made = sum(self._schedule_tier(tier, free, machines, prompt, now) for tier in ready)
         self.queues.rest()
         if made:
             self.changed = True  # a job that went over its guarantee with this pass is in a later tier now
         return made
 
+    def _prompt(self, machines: list[Machine], now: float) -> set[Machine]:
+        """Machines that miss no report, so that replicas may be put there."""
+        # After a takeover everybody is late, as workers first have to find the new leader.
+        late = OVERDUE * self.report_s if now - self.term_from > SILENT * self.report_s else math.inf
+        return {one for one in machines if one.fresh_at is not None and now - one.fresh_at <= late}
+
+    def _schedule_tier(
+        self, tier: Tier, free: list[Machine], machines: list[Machine], prompt: set[Machine], now: float
+    ) -> int:
+        """Let free machines pull the tasks of one tier, those with the image first; the number of claims made."""
+        made = 0
+        asking = tier.candidates(one for one in free if tier.rank > 0 or one in prompt)
+        for score in (1, 0):
+            if score == 0 and tier.rank == 0:
+                for job in tier.jobs:
+                    self.room.for_replicas(job, prompt, now)
+                # A replica whose image has to be fetched starts soonest where that goes quickest.
+                asking.sort(key=lambda one: -one.kind.fetch_gb_per_s)
+            for machine in asking:
+                if now >= machine.hold_until or tier.rank <= machine.hold_rank:
+                    made += self._fill(machine, tier, score, now)
+        if tier.owed:
+            for job in sorted(tier.jobs, key=lambda one: one.uid):
+                if job.queued and now - job.since > OWED * self.report_s:
+                    self.room.for_guarantee(job, machines, now)
+        return made
+
     def _old_first(self, ready: list[Tier], machines: list[Machine], now: float) -> list[Tier]:
         """Put a part of the room aside for jobs that have waited for long, after production replicas.
 
@@ -453,34 +463,34 @@
 
     def sweep(self, now: float) -> list[str]:
         """What time alone decides. Answers the machines that have to be deleted to free what they hold."""
-        doomed = []
         self.detector.look(now)
-        for machine in self.machines.values():
-            if self.detector.well(machine, now):
-                continue
-            if machine.claims and now > machine.lease_over_at(
-                self.epoch, self.term_from, self.detector.others_until, self.lease_s
-            ):
-                log.warning("machine %s: its lease is over, %d claims end", machine.host, len(machine.claims))
-                self.queues.withdraw(machine)
-                for claim in list(machine.claims.values()):
-                    self.end(claim, False, now)
-            if machine.queue and not machine.usable(now, SILENT * self.report_s):
-                self.queues.withdraw(machine)
-                self.changed = True
-            why = self.detector.why(machine, now)
-            if why and not machine.deleting:
-                log.warning("machine %s: to be deleted: %s", machine.host, why)
-                machine.deleting = True
-            if machine.deleting:
-                doomed.append(machine.host)
+        suspect = [machine for machine in self.machines.values() if not self.detector.well(machine, now)]
+        for machine in suspect:
+            self._check_suspect(machine, now)
         for job in self.jobs.values():
             if job.final is None and job.undealt:
                 self.changed = True
             if job.not_before and job.not_before <= now:
                 job.not_before = 0.0
                 self.changed = True
-        return doomed
+        return [machine.host for machine in suspect if machine.deleting]
+
+    def _check_suspect(self, machine: Machine, now: float) -> None:
+        """End what a machine's lease no longer covers, and give the machine up where that is due."""
+        if machine.claims and now > machine.lease_over_at(
+            self.epoch, self.term_from, self.detector.others_until, self.lease_s
+        ):
+            log.warning("machine %s: its lease is over, %d claims end", machine.host, len(machine.claims))
+            self.queues.withdraw(machine)
+            for claim in list(machine.claims.values()):
+                self.end(claim, False, now)
+        if machine.queue and not machine.usable(now, SILENT * self.report_s):
+            self.queues.withdraw(machine)
+            self.changed = True
+        why = self.detector.why(machine, now)
+        if why and not machine.deleting:
+            log.warning("machine %s: to be deleted: %s", machine.host, why)
+            machine.deleting = True
 
     def recalled(self, machine: Machine, now: float) -> None:
         """The cloud takes the machine back: nothing new for it, and what can't finish in time starts elsewhere."""
--- a/ladderfield/leader/dispatcher.py
+++ b/ladderfield/leader/dispatcher.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from ladderfield.http import Client, NoAnswer
+from ladderfield.http import Client, NoAnswerError
 from ladderfield.leader.desk import OVERDUE, Desk
 from ladderfield.leader.messages import Message, OrdersAnswered
 from ladderfield.leadership import Term
@@ -102,7 +102,7 @@
             executed = status == 200
             if status in (200, 409):
                 report = parse_report(data)
-        except (NoAnswer, ValueError) as error:
+        except (NoAnswerError, ValueError) as error:
             log.debug("machine %s: no answer to orders: %s", host, error)
             self._clients.pop(host, None)
         if client is not None and client is not self._clients.get(host):
--- a/ladderfield/leader/test_orders.py
+++ b/ladderfield/leader/test_orders.py
@@ -8,7 +8,7 @@
 import pytest
 import trio
 
-from ladderfield.http import Client, NoAnswer
+from ladderfield.http import Client, NoAnswerError
 from ladderfield.testing.leader import claimed_leader, session_report
 
 
@@ -21,7 +21,7 @@
 
     async def call(self: Client, method: str, target: str, body: Any, timeout: float) -> tuple[int, bytes]:
         sent.append(msgspec.json.decode(msgspec.json.encode(body)))
-        raise NoAnswer("lost")
+        raise NoAnswerError("lost")
 
     monkeypatch.setattr(Client, "call", call)
     async with trio.open_nursery() as nursery:
--- a/ladderfield/server.py
+++ b/ladderfield/server.py
@@ -9,7 +9,7 @@
 import trio
 
 from ladderfield.cancellation_sync import CancellationSync, MalformedAnswerError, parse_uids
-from ladderfield.fleet.cloud import Cloud, CloudTrouble
+from ladderfield.fleet.cloud import Cloud, CloudError
 from ladderfield.http import Reply, Request, Server
 from ladderfield.jobs.api import JobsApi
 from ladderfield.jobs.cancellations import Cancellations
@@ -137,7 +137,7 @@
                     if parse_types(kinds):
                         await self.client.writes.take()
                         await self.client.commit({TYPES: 0}, {TYPES: kinds}, [], pause)
-                except (CloudTrouble, StateServiceError) as error:
+                except (CloudError, StateServiceError) as error:
                     log.info("machine types: %s", error)
             await trio.sleep(pause / 4 if self.view.get(TYPES) is None else pause)
 
--- a/ladderfield/settings.py
+++ b/ladderfield/settings.py
@@ -16,7 +16,7 @@
 Count = Annotated[int, msgspec.Meta(ge=1)]
 
 
-class BadSettings(Exception):
+class SettingsError(Exception):
     """The settings file can't be used; the text is one line that names the field."""
 
 
@@ -86,6 +86,7 @@
     next: NextLimits | None = None
 
     def __post_init__(self) -> None:
+        """Take the smaller of each figure and the one that is to come."""
         for field in NextLimits.__struct_fields__:
             coming = getattr(self.next, field, None)
             if coming is not None and coming < getattr(self, field):
@@ -142,13 +143,13 @@
 
 
 def load(path: Path) -> Settings:
-    """Read and check the file; BadSettings says in one line what is wrong with which field."""
+    """Read and check the file; SettingsError says in one line what is wrong with which field."""
     try:
         settings = msgspec.json.decode(path.read_bytes(), type=Settings)
     except OSError as error:
-        raise BadSettings(f"{path}: {error.strerror or error}") from None
+        raise SettingsError(f"{path}: {error.strerror or error}") from None
     except msgspec.DecodeError as error:
-        raise BadSettings(f"{path}: {error}") from None
+        raise SettingsError(f"{path}: {error}") from None
     named = {"bind": settings.bind, "back": settings.back}
     named |= {"outside.cloud": settings.outside.cloud, "outside.state": settings.outside.state}
     named |= {f"peers[{n}].endpoint": peer.endpoint for n, peer in enumerate(settings.peers)}
@@ -156,5 +157,5 @@
         try:
             address(text)
         except ValueError:
-            raise BadSettings(f"{path}: not a host:port address - at `$.{field}`") from None
+            raise SettingsError(f"{path}: not a host:port address - at `$.{field}`") from None
     return settings
--- a/ladderfield/state.py
+++ b/ladderfield/state.py
@@ -9,7 +9,7 @@
 import trio
 
 from ladderfield.budget import Budget
-from ladderfield.http import Client, NoAnswer, decode_object
+from ladderfield.http import Client, NoAnswerError, decode_object
 from ladderfield.settings import Settings, address
 
 PREFIX = "lf/"
@@ -91,7 +91,7 @@
         try:
             status, data = await client.call(method, target, body, timeout)
             answer = decode_object(data) if data else {}
-        except NoAnswer as error:
+        except NoAnswerError as error:
             await client.drop()
             raise StateServiceError(str(error)) from None
         if status == 429:
--- a/ladderfield/test_job_lifecycle.py
+++ b/ladderfield/test_job_lifecycle.py
@@ -7,7 +7,7 @@
 import pytest
 import trio
 
-from ladderfield.http import Client, NoAnswer
+from ladderfield.http import Client, NoAnswerError
 from ladderfield.testing import job
 from ladderfield.testing.cluster import cluster
 
@@ -150,7 +150,7 @@
             async def call(method: str, target: str, body: Any, timeout: float) -> tuple[int, bytes]:
                 if trio.current_time() < until:
                     await trio.sleep(timeout)
-                    raise NoAnswer("half open")
+                    raise NoAnswerError("half open")
                 return await real(method, target, body, timeout)
 
             client.call = call  # type: ignore[method-assign]
@@ -180,7 +180,7 @@
             hung[0] += 1
             if hung[0] == 1:
                 await trio.sleep(timeout)
-                raise NoAnswer("half open")
+                raise NoAnswerError("half open")
             return await real(method, target, body, timeout)
 
         one.client._watcher.call = call  # type: ignore[method-assign]
--- a/ladderfield/test_leader_changes.py
+++ b/ladderfield/test_leader_changes.py
@@ -7,7 +7,7 @@
 import pytest
 import trio
 
-from ladderfield.http import NoAnswer
+from ladderfield.http import NoAnswerError
 from ladderfield.testing import job
 from ladderfield.testing.cluster import Cluster, cluster
 
@@ -129,7 +129,7 @@
         if node in whole.controllers:
             try:
                 status, _ = await whole.call(node, "POST", "/api/jobs", body)
-            except (NoAnswer, OSError):
+            except (NoAnswerError, OSError):
                 status = 0
             if status in (200, 201):
                 return
--- a/ladderfield/testing/cluster.py
+++ b/ladderfield/testing/cluster.py
@@ -17,7 +17,7 @@
 import trio
 from trio.lowlevel import in_trio_run
 
-from ladderfield.http import Client, NoAnswer, Server
+from ladderfield.http import Client, NoAnswerError, Server
 from ladderfield.peers import BackServer, PeerLink
 from ladderfield.server import Controller
 from ladderfield.testing import CloudService, Network, StateService, Worker, job, settings
@@ -154,7 +154,7 @@
 
     async def silence(*_: Any, **__: Any) -> tuple[int, bytes]:
         await trio.sleep(1.0)
-        raise NoAnswer("cut off")
+        raise NoAnswerError("cut off")
 
     alone = whole.controllers[number]
     for client in (alone.client._client, alone.client._watcher):
--- a/ladderfield/testing/consistency.py
+++ b/ladderfield/testing/consistency.py
@@ -12,7 +12,7 @@
 
 import trio
 
-from ladderfield.http import NoAnswer
+from ladderfield.http import NoAnswerError
 from ladderfield.testing.cluster import Cluster
 
 FINAL = ("done", "cancelled")
@@ -48,7 +48,7 @@
             status, answer = await self.cluster.call(
                 node, "GET" if verb == "GET" else "POST", path, spec if verb == "POST" else None
             )
-        except (NoAnswer, OSError):
+        except (NoAnswerError, OSError):
             return None
         observation = Observation(
             began, next(self._order), trio.current_time(), node, verb, status, answer.get("phase", "")
