--- a/ladderfield/fleet/plan.py
+++ b/ladderfield/fleet/plan.py
@@ -12,7 +12,7 @@
 from ladderfield.fleet.capacity import Offer, Places, Plan, Rental, Room, slots
 from ladderfield.fleet.returns import ReturnPolicy
 from ladderfield.jobs.model import fits
-from ladderfield.leader.desk import Desk
+from ladderfield.leader.scheduler import Scheduler
 from ladderfield.queues.work import Job, Shape
 from ladderfield.workers.machine import Machine
 
@@ -26,16 +26,16 @@
 class Planner:
     """Remembers refusals between plans."""
 
-    def __init__(self, desk: Desk) -> None:
-        self.desk = desk
+    def __init__(self, scheduler: Scheduler) -> None:
+        self.scheduler = scheduler
         self.refused: dict[Offer, tuple[float, float]] = {}  # until when, and the pause that led there
         self.keep: set[str] = set()  # machines that the last plan needs though they are idle
-        self._return_policy = ReturnPolicy(desk)
+        self._return_policy = ReturnPolicy(scheduler)
 
     def refuse(self, offer: Offer, now: float) -> None:
         """The cloud had none of these."""
-        pause = self.refused.get(offer, (0.0, REFUSED / 2 * self.desk.report_s))[1] * 2
-        pause = min(pause, REFUSED_MOST * self.desk.report_s)
+        pause = self.refused.get(offer, (0.0, REFUSED / 2 * self.scheduler.report_s))[1] * 2
+        pause = min(pause, REFUSED_MOST * self.scheduler.report_s)
         self.refused[offer] = (now + pause, pause)
 
     def freed(self, machine: Machine) -> None:
@@ -44,10 +44,10 @@
 
     def rentals(self, now: float) -> list[Rental]:
         """What to ask for now, given what is up and under way."""
-        desk = self.desk
-        plan = Plan(Room(machine) for machine in desk.machines.values() if self._counts(machine, now))
-        jobs = [job for job in desk.jobs.values() if job.final is None and job.waiting > 0]
-        jobs.sort(key=lambda job: (job.order, desk.outlook.rating(job, now), job.since))
+        scheduler = self.scheduler
+        plan = Plan(Room(machine) for machine in scheduler.machines.values() if self._counts(machine, now))
+        jobs = [job for job in scheduler.jobs.values() if job.final is None and job.waiting > 0]
+        jobs.sort(key=lambda job: (job.order, scheduler.estimates.rating(job, now), job.since))
         self._services([job for job in jobs if job.spec.service], plan, now)
         self._arrays([job for job in jobs if not job.spec.service], plan, now)
         self.keep = {room.host for room in plan.rooms if room.host and room.needed}
@@ -55,7 +55,7 @@
 
     def _counts(self, machine: Machine, now: float) -> bool:
         """Whether the machine can be counted on for new tasks, now or once it is up."""
-        detector = self.desk.detector
+        detector = self.scheduler.detector
         leaving = machine.deleting or machine.recall_at is not None
         faulty = machine.sick or machine.deaf_since is not None or (machine.mute and not detector.mostly_mute)
         away = machine.heard_at is not None and detector.away(machine, now)
@@ -63,17 +63,17 @@
 
     def _services(self, jobs: list[Job], plan: Plan, now: float) -> None:
         """Every waiting replica gets room, if need be in place of lower ranks; and so do those soon to come."""
-        desk = self.desk
+        scheduler = self.scheduler
         for job in jobs:
             places = Places(job.spec, job.zones)
-            self._give(places, job.shape, min(job.waiting, desk.teams.room(job.spec)), plan, now, soon=True)
-        for stream, job in desk.outlook.latest.items():
+            self._give(places, job.shape, min(job.waiting, scheduler.teams.room(job.spec)), plan, now, soon=True)
+        for stream, job in scheduler.estimates.latest.items():
             places = Places(job.spec, None)
             offer = self._best(places, 1, (True, False), now)
             if offer is not None:
-                kind = desk.types[offer.type_name]
+                kind = scheduler.types[offer.type_name]
                 until = kind.boot_s + kind.fetch_s(job.spec.image_gb)
-                coming = until * desk.outlook.rate(stream, now) * job.spec.tasks
+                coming = until * scheduler.estimates.rate(stream, now) * job.spec.tasks
                 self._give(places, job.shape, math.ceil(coming + SPARE * math.sqrt(coming)), plan, now)
 
     def _give(self, places: Places, shape: Shape, need: int, plan: Plan, now: float, soon: bool = False) -> None:
@@ -82,17 +82,17 @@
                 return
             need -= places.place(room, need)
         while need > 0 and (offer := self._best(places, need, (True, False), now, soon)) and plan.may_add(offer):
-            placed = places.place(plan.add(offer, self.desk.types[offer.type_name]), need)
+            placed = places.place(plan.add(offer, self.scheduler.types[offer.type_name]), need)
             if not placed:
                 break
             need -= placed
 
     def _arrays(self, jobs: list[Job], plan: Plan, now: float) -> None:
-        desk = self.desk
-        load = sum(self._remaining(job, now) for job in desk.jobs.values() if job.claims and not job.spec.service)
+        scheduler = self.scheduler
+        load = sum(self._remaining(job, now) for job in scheduler.jobs.values() if job.claims and not job.spec.service)
         for job in jobs:
-            spec, run = job.spec, desk.outlook.run_s(job)
-            tasks = min(job.waiting, desk.teams.room(spec))
+            spec, run = job.spec, scheduler.estimates.run_s(job)
+            tasks = min(job.waiting, scheduler.teams.room(spec))
             load += tasks * spec.cpus * run
             places = Places(spec, job.zones)
             for room in plan.for_array(spec, job.shape):
@@ -104,10 +104,10 @@
                     if not plan.may_add(offer):
                         tasks = 0  # a later plan sees to the rest; nothing dearer is taken for it meanwhile
                         break
-                    kind = desk.types[offer.type_name]
+                    kind = scheduler.types[offer.type_name]
                     horizon = HORIZON * kind.boot_s
                     if not spot:
-                        horizon = max(horizon, PATIENCE * desk.outlook.slack(job, now))
+                        horizon = max(horizon, PATIENCE * scheduler.estimates.slack(job, now))
                     if load <= horizon * plan.cpus_for_arrays(spec, job.shape):
                         break
                     placed = places.place(plan.add(offer, kind), tasks, free_only=True)
@@ -117,7 +117,7 @@
 
     def _remaining(self, job: Job, now: float) -> float:
         """The cpu-seconds that a job's running tasks still need; one that overstays its estimate needs some more."""
-        run = self.desk.outlook.run_s(job)
+        run = self.scheduler.estimates.run_s(job)
         begun = (0.0 if claim.running_at is None else now - claim.running_at for claim in job.claims.values())
         return job.spec.cpus * sum(max(run - ran, run / 4) for ran in begun)
 
@@ -128,7 +128,7 @@
         """
         spec = places.spec
         best: tuple[float, Offer] | None = None
-        for kind in self.desk.types.values():
+        for kind in self.scheduler.types.values():
             if not fits(spec, kind):
                 continue
             full = slots(spec, kind.cpus, kind.gpus, kind.memory_gb)
--- a/ladderfield/fleet/returns.py
+++ b/ladderfield/fleet/returns.py
@@ -5,7 +5,7 @@
 import math
 from collections.abc import Collection
 
-from ladderfield.leader.desk import Desk
+from ladderfield.leader.scheduler import Scheduler
 from ladderfield.workers.machine import Machine
 
 SLOW_FETCH = 3.0  # of report_s, as long as a machine that is lost goes unnoticed: an image is worth keeping then
@@ -19,8 +19,8 @@
 class ReturnPolicy:
     """Remembers how much room was asked for lately."""
 
-    def __init__(self, desk: Desk) -> None:
-        self.desk = desk
+    def __init__(self, scheduler: Scheduler) -> None:
+        self.scheduler = scheduler
         self._asked, self._asked_at = 0.0, -math.inf  # cpus asked for, smoothed
 
     def returns(self, keep: Collection[str], now: float) -> list[Machine]:
@@ -29,10 +29,10 @@
         Soon where there is far more room than was asked for lately, otherwise once they have idled for most of what it
         would cost to bring them back.
         """
-        live = [one for one in self.desk.machines.values() if one.heard_at is not None and not one.deleting]
+        live = [one for one in self.scheduler.machines.values() if one.heard_at is not None and not one.deleting]
         excess = sum(one.kind.cpus for one in live) - AMPLE * self._asked_lately(live, now)
         warm = self._warm(live, now)
-        away = {one for one in live if self.desk.detector.away(one, now)}  # of ample room these go first
+        away = {one for one in live if self.scheduler.detector.away(one, now)}  # of ample room these go first
         order = sorted(live, key=lambda one: (one not in away, one.spot, one in warm, -one.kind.price, one.host))
         result = []
         for machine in order:
@@ -46,14 +46,14 @@
 
     def _asked_lately(self, live: list[Machine], now: float) -> float:
         """The cpus that tasks use or wait for; or that they did lately, if that was more, as it fades."""
-        desk = self.desk
+        scheduler = self.scheduler
         asked = sum(claim.job.spec.cpus for one in live for claim in one.claims.values())
         asked += sum(
-            min(job.waiting, desk.teams.room(job.spec)) * job.spec.cpus
-            for job in desk.jobs.values()
+            min(job.waiting, scheduler.teams.room(job.spec)) * job.spec.cpus
+            for job in scheduler.jobs.values()
             if job.final is None
         )
-        fade = math.exp((self._asked_at - now) / (RECENT * desk.report_s))
+        fade = math.exp((self._asked_at - now) / (RECENT * scheduler.report_s))
         self._asked = asked + fade * (self._asked - asked)
         self._asked_at = now
         return max(asked, self._asked)
@@ -64,9 +64,9 @@
         A replica that finds its image is up far sooner, so what has none goes first. Where a fetch is quick, to keep
         them would only gather the replicas in a few places, to be lost together.
         """
-        outlook = self.desk.outlook
-        wanted = {stream[1] for stream in outlook.latest if outlook.rate(stream, now)}
-        slow = SLOW_FETCH * self.desk.report_s
+        estimates = self.scheduler.estimates
+        wanted = {stream[1] for stream in estimates.latest if estimates.rate(stream, now)}
+        slow = SLOW_FETCH * self.scheduler.report_s
 
         def has_slow_image(machine: Machine) -> bool:
             images = machine.cached.items()
@@ -77,4 +77,4 @@
     def _linger_s(self, machine: Machine, ample: bool) -> float:
         """How long the machine may idle."""
         again_s = machine.kind.boot_s + machine.kind.fetch_s(max(machine.cached.values(), default=0.0))
-        return max((LINGER_AMPLE if ample else LINGER) * again_s, LINGER_LEAST * self.desk.report_s)
+        return max((LINGER_AMPLE if ample else LINGER) * again_s, LINGER_LEAST * self.scheduler.report_s)
--- a/ladderfield/jobs/accept.py
+++ b/ladderfield/jobs/accept.py
@@ -57,9 +57,9 @@
     """The one writer of a front door's submissions."""
 
     def __init__(
-        self, settings: Settings, client: StateClient, view: View, chains: DependencyGraph, wait_s: float
+        self, settings: Settings, client: StateClient, view: View, dependencies: DependencyGraph, wait_s: float
     ) -> None:
-        self.client, self.view, self.chains, self.wait_s = client, view, chains, wait_s
+        self.client, self.view, self.dependencies, self.wait_s = client, view, dependencies, wait_s
         state = settings.cluster.state
         self.most_bytes = min(state.value_kb * 1024, TXN_BYTES) * FULL - FRAME
         self.most_jobs = GUARDS * state.txn_ops - 1
@@ -168,7 +168,7 @@
         with trio.move_on_after(self.wait_s * ANSWER):
             await self.view.reach(ledger)
         for wanted in batch:
-            if FINAL + wanted.uid in failed or key == JOB + wanted.uid or wanted.uid in self.chains:
+            if FINAL + wanted.uid in failed or key == JOB + wanted.uid or wanted.uid in self.dependencies:
                 self._answer(wanted, ledger)
 
     def _answer(self, wanted: Wanted, known_at: int | None) -> None:
--- a/ladderfield/jobs/test_dependencies.py
+++ b/ladderfield/jobs/test_dependencies.py
@@ -17,7 +17,7 @@
 
     def __init__(self) -> None:
         self.data: dict[str, Any] = {}
-        self.chains = DependencyGraph(self.data.get)
+        self.dependencies = DependencyGraph(self.data.get)
 
     def put(self, key: str, value: Any) -> None:
         """A key changes, or (None) goes."""
@@ -25,7 +25,7 @@
             self.data.pop(key, None)
         else:
             self.data[key] = value
-        self.chains.take(Change(key, value, 1))
+        self.dependencies.take(Change(key, value, 1))
 
     def accept(self, uid: str, *needs: str, **changes: Any) -> None:
         """A job that waits for others is accepted."""
@@ -46,12 +46,12 @@
     records.accept(a)
     records.accept(b)
     records.accept(c, a, b)
-    assert records.chains.unmet([a, b]) == {a, b}
+    assert records.dependencies.unmet([a, b]) == {a, b}
     records.end(a)
-    assert records.chains.unmet([a, b]) == {b}
+    assert records.dependencies.unmet([a, b]) == {b}
     records.put(f"lf/j/{a}", None)
     records.end(b, "cancelled")
-    assert records.chains.unmet([a, b]) == {b}, "cancelled is not done"
+    assert records.dependencies.unmet([a, b]) == {b}, "cancelled is not done"
 
 
 def test_a_diamond_is_cancelled_with_its_first_job_in_whatever_order_that_is_seen() -> None:
@@ -64,8 +64,12 @@
                 records.accept(step, *accepted_with[step])
             else:
                 records.end(a, "cancelled")
-        assert all(records.chains.cancelled(uid) for uid in (a, b, c, d)), order
-        assert set(records.chains.all_after(a)) == {b, c, d} and set(records.chains.all_before(d)) == {a, b, c}
+        assert all(records.dependencies.cancelled(uid) for uid in (a, b, c, d)), order
+        assert set(records.dependencies.all_after(a)) == {b, c, d} and set(records.dependencies.all_before(d)) == {
+            a,
+            b,
+            c,
+        }
 
 
 def test_a_chain_of_thousands_is_walked_without_recursion_and_asked_for_nothing() -> None:
@@ -75,9 +79,9 @@
     for before, uid in itertools.pairwise(chain):
         records.accept(uid, before)
     records.end(chain[0], "cancelled")
-    assert all(records.chains.cancelled(uid) for uid in chain)
+    assert all(records.dependencies.cancelled(uid) for uid in chain)
     records.accept("req-999999", chain[-1])
-    assert records.chains.cancelled("req-999999"), "named only after it was cancelled"
+    assert records.dependencies.cancelled("req-999999"), "named only after it was cancelled"
 
 
 def test_what_was_done_before_a_cancellation_lets_the_rest_go_on() -> None:
@@ -87,7 +91,10 @@
     records.accept(b, a)
     records.end(a)
     records.accept(c, b)
-    assert not any(records.chains.cancelled(uid) for uid in (a, b, c)) and records.chains.ready_at([a]) == 1100.0
+    assert (
+        not any(records.dependencies.cancelled(uid) for uid in (a, b, c))
+        and records.dependencies.ready_at([a]) == 1100.0
+    )
 
 
 def test_cleared_records_leave_nothing_behind() -> None:
@@ -98,11 +105,11 @@
     records.put("lf/j/second", {"jobs": records.data[f"lf/j/{b}"]["jobs"]})  # a retry at another controller
     records.end(a, "cancelled")
     records.put(f"lf/j/{b}", None)
-    assert records.chains.cancelled(b) and b in records.chains, "another record names it still"
+    assert records.dependencies.cancelled(b) and b in records.dependencies, "another record names it still"
     records.end(b, "cancelled")
     records.put("lf/j/second", None)
     records.put(f"lf/j/{a}", None)
-    assert records.chains.cancelled(b) and a not in records.chains and not records.chains.after(a)
+    assert records.dependencies.cancelled(b) and a not in records.dependencies and not records.dependencies.after(a)
 
 
 def test_rank_and_due_time_go_backwards_less_what_the_stages_between_need() -> None:
@@ -111,11 +118,11 @@
     records.accept(a, rank="best_effort")
     records.accept(b, a, rank="standard", expectS=20.0)
     records.accept(c, b, rank="urgent", expectS=8.0, dueS=100.0)
-    assert records.chains.urgency(c) == (URGENT, (1100.0, 100.0))
-    assert records.chains.urgency(b) == (URGENT, (1092.0, 100.0))
-    assert records.chains.urgency(a) == (URGENT, (1072.0, 100.0))
+    assert records.dependencies.urgency(c) == (URGENT, (1100.0, 100.0))
+    assert records.dependencies.urgency(b) == (URGENT, (1092.0, 100.0))
+    assert records.dependencies.urgency(a) == (URGENT, (1072.0, 100.0))
     records.end(c, "cancelled")
-    assert records.chains.urgency(b) == (STANDARD, None) and records.chains.urgency(a) == (STANDARD, None)
+    assert records.dependencies.urgency(b) == (STANDARD, None) and records.dependencies.urgency(a) == (STANDARD, None)
 
 
 def test_an_array_does_not_inherit_the_rights_of_production() -> None:
@@ -123,7 +130,7 @@
     a, b = uids(2)
     records.accept(a, rank="best_effort")
     records.accept(b, a, rank="production")
-    assert records.chains.urgency(a)[0] == URGENT
+    assert records.dependencies.urgency(a)[0] == URGENT
 
 
 def test_records_that_contradict_each_other_end_nothing() -> None:
@@ -131,13 +138,13 @@
     a, b = uids(2)
     records.accept(a, b, dueS=50.0)
     records.accept(b, a, dueS=50.0)
-    assert records.chains.unmet([a]) == {a} and not records.chains.cancelled(a)
+    assert records.dependencies.unmet([a]) == {a} and not records.dependencies.cancelled(a)
 
 
 def test_only_services_that_go_on_can_never_be_waited_for() -> None:
     records = Records()
     a, b = uids(2)
     records.accept(a, shape="daemon")
-    assert records.chains.service(a) and records.chains.unknown([a, b]) == b
+    assert records.dependencies.service(a) and records.dependencies.unknown([a, b]) == b
     records.end(a, "cancelled")
-    assert not records.chains.service(a)
+    assert not records.dependencies.service(a)
--- a/ladderfield/leader/actor.py
+++ b/ladderfield/leader/actor.py
@@ -17,7 +17,6 @@
 from ladderfield.fleet.cloud import Cloud
 from ladderfield.jobs.dependencies import DependencyGraph
 from ladderfield.leader.cloud_tasks import CloudTasks
-from ladderfield.leader.desk import OVERDUE, Desk
 from ladderfield.leader.dispatcher import Dispatcher
 from ladderfield.leader.fleet_manager import FleetManager
 from ladderfield.leader.ledger import Ledger
@@ -35,6 +34,7 @@
     TransactionAnswered,
     WriterReady,
 )
+from ladderfield.leader.scheduler import OVERDUE, Scheduler
 from ladderfield.leader.writer import Writer
 from ladderfield.leadership import EPOCH, Term, grace_of
 from ladderfield.settings import Settings
@@ -74,13 +74,15 @@
         grace = max(grace_of(settings, view, member) for member in members)
         self.inbox_size = max(INBOX_LEAST, int(settings.cluster.quota.max_connections * INBOX_SHARE))
         self.send, self.inbox = trio.open_memory_channel[Message](self.inbox_size)
-        self.desk = Desk(settings, term.epoch, trio.current_time(), time.time(), grace, dependencies, term.before)
-        self.ledger = Ledger(self.desk, term.stamp, settings.cluster.state.txn_ops)
-        self.dispatcher = Dispatcher(settings, term, self.desk, self.send)
-        self.desk.push = lambda machine: self.dispatcher.request(machine.host)
+        self.scheduler = Scheduler(
+            settings, term.epoch, trio.current_time(), time.time(), grace, dependencies, term.before
+        )
+        self.ledger = Ledger(self.scheduler, term.stamp, settings.cluster.state.txn_ops)
+        self.dispatcher = Dispatcher(settings, term, self.scheduler, self.send)
+        self.scheduler.push = lambda machine: self.dispatcher.request(machine.host)
         self.writer = Writer(settings, term.epoch, client, self.send)
         self.cloud_tasks = CloudTasks(settings, term, cloud, client, view, self.send)
-        self.fleet = FleetManager(term, self.desk, self.cloud_tasks, self.dispatcher)
+        self.fleet = FleetManager(term, self.scheduler, self.cloud_tasks, self.dispatcher)
         self._recorded_at = self._pass_at = -math.inf
         self._handlers: dict[type, Callable[[Any, float], None]] = {
             ReportReceived: self._on_report,
@@ -105,12 +107,12 @@
             with trio.move_on_after(self.term.ttl):
                 await self.view.reach(self.term.stamp)
         async with self.view.subscribe() as changes:
-            self.desk.load(dict(self.view.data), trio.current_time())
+            self.scheduler.load(dict(self.view.data), trio.current_time())
             log.info(
                 "epoch %d: took over %d jobs, %d machines with claims",
                 self.term.epoch,
-                len(self.desk.jobs),
-                len(self.desk.machines),
+                len(self.scheduler.jobs),
+                len(self.scheduler.machines),
             )
             async with trio.open_nursery() as nursery:
                 self.dispatcher.nursery = self.fleet.nursery = nursery
@@ -160,8 +162,8 @@
         """After the messages: schedule, record and push."""
         # A pass is worth its time only when what it claims can be recorded at once, and as far as passes leave time for
         # all else: a flood of reports shares them.
-        if self.desk.changed and not self.writer.busy and now >= self._pass_at and self.term.may_start(now):
-            self.desk.schedule(now)
+        if self.scheduler.changed and not self.writer.busy and now >= self._pass_at and self.term.may_start(now):
+            self.scheduler.schedule(now)
             took = trio.current_time() - now
             now += took
             self._pass_at = now + took * (1 / PASS_SHARE - 1)
@@ -180,15 +182,15 @@
         if (
             self._outranked(report, now)
             or not self.term.may_answer(now)
-            or self.desk.detector.lets_go(report.host, now, patience)
+            or self.scheduler.detector.lets_go(report.host, now, patience)
         ):
             message.answer.set(None)
             return
-        machine = self.desk.sessions.report(report, now, answering=True)
+        machine = self.scheduler.sessions.report(report, now, answering=True)
         orders: list[Order] = []
         if machine is not None and (report.tenure, report.tick) == (machine.tenure, machine.tick):
             machine.came(message.relayed, now)
-            orders = self.desk.sessions.orders(machine, now, report.tick, self.term.may_start(now))
+            orders = self.scheduler.sessions.orders(machine, now, report.tick, self.term.may_start(now))
         message.answer.set(ReportAnswer(self.term.epoch, orders))
 
     def _outranked(self, report: Report, now: float) -> bool:
@@ -201,11 +203,11 @@
             return False
         elections = max(0.0, now - self.term.renewed_at - self.term.ttl) / (self.term.ttl * ELECTION) + 1
         if self.term.may_start(now) or report.epoch > self.term.epoch + elections:
-            machine = self.desk.machines.get(report.host)
+            machine = self.scheduler.machines.get(report.host)
             if machine is not None and not machine.sick:
                 log.warning("machine %s: shows epoch %d, which nobody gave", report.host, report.epoch)
                 machine.sick = True
-                self.desk.queues.withdraw(machine)
+                self.scheduler.queues.withdraw(machine)
         else:
             self.term.end(f"machine {report.host} has seen epoch {report.epoch}")
         return True
@@ -214,7 +216,7 @@
         for change in message.changes:
             if change.key == EPOCH and change.value and change.value["epoch"] > self.term.epoch:
                 self.term.end(f"epoch {change.value['epoch']} is on record")
-        self.desk.take_changes(message.changes, now)
+        self.scheduler.take_changes(message.changes, now)
 
     def _on_writer_ready(self, message: WriterReady, now: float) -> None:
         self.writer.busy = False
@@ -231,35 +233,35 @@
 
     def _on_orders_answered(self, message: OrdersAnswered, now: float) -> None:
         self.dispatcher.finished(message.host)
-        machine = self.desk.machines.get(message.host)
+        machine = self.scheduler.machines.get(message.host)
         if machine is None:
             return
         if message.report is None or message.report.host != message.host:
             # Only where reports do come straight from it: what is silent, or relayed, is out of our reach anyway.
             heard = machine.heard_at is not None and now - machine.heard_at <= OVERDUE * self.report_s
             if heard and not machine.relayed:
-                self.desk.sessions.ignored(machine, 1, now)
+                self.scheduler.sessions.ignored(machine, 1, now)
             return
         if self._outranked(message.report, now):
             return
         if message.report.tenure >= machine.tenure:
-            self.desk.sessions.answered(machine, message.attempts, message.executed)
-        self.desk.sessions.report(message.report, now, answering=False)
+            self.scheduler.sessions.answered(machine, message.attempts, message.executed)
+        self.scheduler.sessions.report(message.report, now, answering=False)
         if not message.executed or machine.epoch != self.term.epoch:
             self.dispatcher.request(message.host)
 
     def _on_cancellations_learned(self, message: CancellationsLearned, now: float) -> None:
         for uid in message.uids:
             # Confirmed after what we knew for sure, or we would know it.
-            self.desk.cancelled(uid, self.term.known_at, now)
+            self.scheduler.cancelled(uid, self.term.known_at, now)
         self.term.knows(message.known_at)
 
     def _on_no_other_leader(self, message: NoOtherLeader, now: float) -> None:
-        self.desk.detector.no_other_leader(now)
+        self.scheduler.detector.no_other_leader(now)
 
     def _on_tick(self, message: Tick, now: float) -> None:
-        doomed = self.desk.sweep(now)
-        for machine in self.desk.machines.values():
+        doomed = self.scheduler.sweep(now)
+        for machine in self.scheduler.machines.values():
             if machine.claims and machine.epoch == self.term.epoch and self._has_untold_stop(machine):
                 self.dispatcher.request(machine.host)
             elif machine.up_at is not None and self.dispatcher.doubtful(machine, now):
--- a/ladderfield/leader/dispatcher.py
+++ b/ladderfield/leader/dispatcher.py
@@ -7,8 +7,8 @@
 import trio
 
 from ladderfield.http import Client, NoAnswerError
-from ladderfield.leader.desk import OVERDUE, Desk
 from ladderfield.leader.messages import Message, OrdersAnswered
+from ladderfield.leader.scheduler import OVERDUE, Scheduler
 from ladderfield.leadership import Term
 from ladderfield.settings import Settings, address
 from ladderfield.workers.machine import Machine
@@ -29,8 +29,10 @@
 
     nursery: trio.Nursery  # where pushes run
 
-    def __init__(self, settings: Settings, term: Term, desk: Desk, inbox: trio.MemorySendChannel[Message]) -> None:
-        self.term, self.desk, self.inbox = term, desk, inbox
+    def __init__(
+        self, settings: Settings, term: Term, scheduler: Scheduler, inbox: trio.MemorySendChannel[Message]
+    ) -> None:
+        self.term, self.scheduler, self.inbox = term, scheduler, inbox
         self.report_s = settings.cluster.workers.report_s
         sockets = settings.cluster.quota.max_connections
         self.most_pushes = max(2, min(MOST_PUSHES, int(sockets * PUSHES_SHARE)))
@@ -55,7 +57,10 @@
 
     def doubtful(self, machine: Machine, now: float) -> bool:
         """Whether it is overdue or does not seem to hear us."""
-        return machine.deaf_since is not None or machine.silent_for(now, self.desk.term_from) > OVERDUE * self.report_s
+        return (
+            machine.deaf_since is not None
+            or machine.silent_for(now, self.scheduler.term_from) > OVERDUE * self.report_s
+        )
 
     def dispatch(self, now: float) -> None:
         """Begin pushes. Machines that were not heard lately may let theirs wait long; these get only a part."""
@@ -63,7 +68,7 @@
         for host in list(self._waiting):
             if len(self._under_way) >= self.most_pushes:
                 break
-            machine = self.desk.machines.get(host)
+            machine = self.scheduler.machines.get(host)
             if machine is None or not machine.endpoint:
                 self._waiting.discard(host)
                 continue
@@ -80,7 +85,7 @@
             return False  # another controller reaches it, we likely don't: its orders go with the answers
         orders: list[Order] = []
         if machine.epoch == self.term.epoch:
-            orders = self.desk.sessions.orders(machine, now, None, self.term.may_start(now))
+            orders = self.scheduler.sessions.orders(machine, now, None, self.term.may_start(now))
         if not orders and not silent and machine.epoch == self.term.epoch:
             return False
         self._under_way[machine.host] = silent
--- a/ladderfield/leader/outlook.py
+++ b/ladderfield/leader/estimates.py
@@ -17,7 +17,7 @@
 LEARN = 0.1  # weight of a new run time in a class's bias
 
 
-class Outlook:
+class Estimates:
     """Learns from what arrives and what finishes."""
 
     def __init__(self, settings: Settings, wall_offset: float = 0.0) -> None:
--- a/ladderfield/leader/failure_detector.py
+++ b/ladderfield/leader/failure_detector.py
@@ -12,7 +12,7 @@
 from ladderfield.workers.report import ANSWER_S, NEXT_S
 
 if TYPE_CHECKING:
-    from ladderfield.leader.desk import Desk
+    from ladderfield.leader.scheduler import Scheduler
 
 log = logging.getLogger(__name__)
 
@@ -26,26 +26,30 @@
 
 
 class FailureDetector:
-    """Judges machines on the desk's tables."""
+    """Judges machines on the scheduler's tables."""
 
-    def __init__(self, desk: Desk, others_until: float, before: Mapping[str, float], wall_offset: float) -> None:
-        self.desk = desk
+    def __init__(
+        self, scheduler: Scheduler, others_until: float, before: Mapping[str, float], wall_offset: float
+    ) -> None:
+        self.scheduler = scheduler
         self.others_until = others_until  # an earlier leader may answer reports until then
         # Where leaders before us stood: they may go on answering the workers there, whoever else has lost them.
         self.zones_before = {
-            peer.location: before[peer.member] - wall_offset for peer in desk.settings.peers if peer.member in before
+            peer.location: before[peer.member] - wall_offset
+            for peer in scheduler.settings.peers
+            if peer.member in before
         }
         self._mostly_silent = False
         self.mostly_mute = False  # then the fault is likely ours, and other machines would be no better off
         self.cut: set[str] = set()  # zones
         # The longest way round a leader that a worker can't reach: it waits for an answer and tries the next.
-        self._way = LATEST * desk.report_s + ANSWER_S + 2 * NEXT_S
-        self._together = LOST_TOGETHER * desk.lease_s
+        self._way = LATEST * scheduler.report_s + ANSWER_S + 2 * NEXT_S
+        self._together = LOST_TOGETHER * scheduler.lease_s
 
     def no_other_leader(self, now: float) -> None:
         """All other controllers have said, since our term began, that they are not leader: no one else answers."""
         if now < self.others_until:
-            log.info("epoch %d: no earlier leader is left", self.desk.epoch)
+            log.info("epoch %d: no earlier leader is left", self.scheduler.epoch)
             self.others_until = now
 
     def look(self, now: float) -> None:
@@ -54,8 +58,8 @@
         At least half of the machines there, and more than one, are silent, or have lately begun to come by way of
         another controller. Then those that are silent are likely on such a way, or would be if there were one.
         """
-        desk, known, mute = self.desk, dict[str, list[int]](), 0
-        for machine in desk.machines.values():
+        scheduler, known, mute = self.scheduler, dict[str, list[int]](), 0
+        for machine in scheduler.machines.values():
             # Guards work against machines that can't reach any controller while our commands reach them: their lease
             # runs out, and with it ends all that would be begun there.
             came_at = machine.up_at if machine.reported_at is None else machine.reported_at
@@ -64,21 +68,21 @@
             if machine.heard_at is not None or machine.claims:
                 count = known.setdefault(machine.zone, [0, 0])
                 count[0] += 1
-                silent = machine.silent_for(now, desk.term_from) > SILENT * desk.report_s
-                detour = machine.relayed and now - machine.detour_at < DETOURS * desk.lease_s
+                silent = machine.silent_for(now, scheduler.term_from) > SILENT * scheduler.report_s
+                detour = machine.relayed and now - machine.detour_at < DETOURS * scheduler.lease_s
                 count[1] += silent or detour or machine.deaf_since is not None
-        self.mostly_mute = 2 * mute > len(desk.machines)
+        self.mostly_mute = 2 * mute > len(scheduler.machines)
         self._mostly_silent = 2 * sum(silent for _, silent in known.values()) > sum(one for one, _ in known.values())
         self.cut = {zone for zone, (every, silent) in known.items() if silent > 1 and silent * 2 >= every}
 
     def _patience(self, machine: Machine, now: float) -> float:
         """How long the machine may be silent."""
-        desk, cut, alone = self.desk, machine.zone in self.cut, self.others_until <= now
-        term_from = desk.term_from
+        scheduler, cut, alone = self.scheduler, machine.zone in self.cut, self.others_until <= now
+        term_from = scheduler.term_from
         # After a takeover a machine may still be on its way between controllers, some of which don't answer; and one
         # that is relayed is sent to us now and then, and waits there before it goes the other way.
         finding = machine.fresh_at is None
-        patience = LOST * desk.report_s
+        patience = LOST * scheduler.report_s
         if cut or (finding and not alone):
             patience = max(patience, self._together)
         elif finding or machine.relayed:
@@ -86,7 +90,7 @@
         if cut and not machine.replicas:
             # Guards against giving a whole zone up for a cut that heals: its tasks begin anew elsewhere once their
             # lease is over, and to wait for the machine costs no more than to boot another.
-            patience = max(patience, desk.lease_s * CLOCKS + machine.kind.boot_s)
+            patience = max(patience, scheduler.lease_s * CLOCKS + machine.kind.boot_s)
         if machine.up_at is None:
             # A leader before us may still be answering it; to delete what runs well would be our doing.
             until = self.others_until if self._mostly_silent else self.zones_before.get(machine.zone, 0.0)
@@ -100,15 +104,15 @@
 
         It may come back, but nothing of it can be counted on.
         """
-        silent = machine.silent_for(now, self.desk.term_from)
-        return machine.zone in self.cut and silent > self.desk.lease_s * CLOCKS
+        silent = machine.silent_for(now, self.scheduler.term_from)
+        return machine.zone in self.cut and silent > self.scheduler.lease_s * CLOCKS
 
     def well(self, machine: Machine, now: float) -> bool:
         """Whether a look at it tells already that nothing is to be decided: of hundreds nearly all are."""
         return (
-            machine.usable(now, SILENT * self.desk.report_s)
+            machine.usable(now, SILENT * self.scheduler.report_s)
             and machine.listed != "failed"
-            and not (machine.claims and self.desk.cancelled_at)
+            and not (machine.claims and self.scheduler.cancelled_at)
         )
 
     def lets_go(self, host: str, now: float, patience: float) -> bool:
@@ -117,18 +121,18 @@
         Its cancellation was confirmed so long ago that one more answer would keep it beyond cancel_s. Guards
         ``ran_cancelled`` where the machine can't be deleted: the cloud is down, or the right to delete is gone.
         """
-        machine = self.desk.machines.get(host)
-        if machine is None or not self.desk.cancelled_at:
+        machine = self.scheduler.machines.get(host)
+        if machine is None or not self.scheduler.cancelled_at:
             return False
-        times = (self.desk.cancelled_at.get(claim.job.uid, math.inf) for claim in machine.claims.values())
+        times = (self.scheduler.cancelled_at.get(claim.job.uid, math.inf) for claim in machine.claims.values())
         return now > min(times, default=math.inf) + patience
 
     def why(self, machine: Machine, now: float) -> str | None:
         """Why the machine has to go, or None."""
-        desk = self.desk
+        scheduler = self.scheduler
         if machine.listed == "failed":
             return "it failed"
-        silent, patience = machine.silent_for(now, desk.term_from), self._patience(machine, now)
+        silent, patience = machine.silent_for(now, scheduler.term_from), self._patience(machine, now)
         booted = machine.heard_at is not None or machine.claims or machine.kind is UNKNOWN
         if booted and silent > patience:
             return f"no sign that it is well for {silent:.1f} s"
@@ -138,13 +142,13 @@
             if now - machine.deaf_since > max(patience, lasting):
                 return "it does not hear us"
         # A successor finds idle machines that have been up for long: they get the time to come to it.
-        found = now - desk.term_from > self._together
+        found = now - scheduler.term_from > self._together
         if not booted and found and now - machine.born_at > BOOT * machine.kind.boot_s:
             return "it never came up"
         if machine.sick and not any(claim.job.spec.service for claim in machine.claims.values()):
             return "it is sick"
         for claim in machine.claims.values():
-            since = desk.cancelled_at.get(claim.job.uid)
-            if since is not None and now - since > CANCEL_BY * desk.cancel_s:
+            since = scheduler.cancelled_at.get(claim.job.uid)
+            if since is not None and now - since > CANCEL_BY * scheduler.cancel_s:
                 return f"it still holds {task_name(claim.task)}, which was cancelled"
         return None
--- a/ladderfield/leader/fleet_manager.py
+++ b/ladderfield/leader/fleet_manager.py
@@ -11,9 +11,9 @@
 from ladderfield.fleet.cloud import DELETE_MOST, RENT_MOST
 from ladderfield.fleet.plan import Planner
 from ladderfield.leader.cloud_tasks import CloudTasks
-from ladderfield.leader.desk import Desk
 from ladderfield.leader.dispatcher import Dispatcher
 from ladderfield.leader.messages import DeletionAnswered, MachinesListed, RentalAnswered
+from ladderfield.leader.scheduler import Scheduler
 from ladderfield.leadership import Term
 
 log = logging.getLogger(__name__)
@@ -22,13 +22,13 @@
 
 
 class FleetManager:
-    """Carries the planner's decisions out, and takes the cloud's answers in, on the desk's tables."""
+    """Carries the planner's decisions out, and takes the cloud's answers in, on the scheduler's tables."""
 
     nursery: trio.Nursery  # where calls to the cloud run
 
-    def __init__(self, term: Term, desk: Desk, cloud_tasks: CloudTasks, dispatcher: Dispatcher) -> None:
-        self.term, self.desk, self.cloud_tasks, self.dispatcher = term, desk, cloud_tasks, dispatcher
-        self.planner = Planner(desk)
+    def __init__(self, term: Term, scheduler: Scheduler, cloud_tasks: CloudTasks, dispatcher: Dispatcher) -> None:
+        self.term, self.scheduler, self.cloud_tasks, self.dispatcher = term, scheduler, cloud_tasks, dispatcher
+        self.planner = Planner(scheduler)
         self._planned_at = -math.inf
         self._renting: dict[str, Offer] = {}  # hires under way
         self._hires = 0
@@ -36,7 +36,7 @@
 
     def manage(self, doomed: list[str], now: float) -> None:
         """Rent, return, and delete what is doomed or returned, as far as we may."""
-        if self.term.may_start(now) and now - self._planned_at >= PLAN_EVERY * self.desk.report_s:
+        if self.term.may_start(now) and now - self._planned_at >= PLAN_EVERY * self.scheduler.report_s:
             self._planned_at = now
             try:
                 doomed = doomed + self._plan(now)
@@ -54,7 +54,7 @@
         for machine in returned:
             log.info("machine %s: idle, returned", machine.host)
             machine.deleting = True
-            self.desk.queues.withdraw(machine)
+            self.scheduler.queues.withdraw(machine)
         if not self._renting:
             for rental in self.planner.rentals(now):
                 self._rent(rental)
@@ -73,8 +73,8 @@
     def on_machines_listed(self, message: MachinesListed, now: float) -> None:
         """Take the cloud's list of machines in."""
         for one in message.hosts:
-            fresh = one.host not in self.desk.machines
-            machine = self.desk.sessions.machine(one.host, one.endpoint or "", one.type, one.zone, one.spot, now)
+            fresh = one.host not in self.scheduler.machines
+            machine = self.scheduler.sessions.machine(one.host, one.endpoint or "", one.type, one.zone, one.spot, now)
             if machine is None:
                 continue
             machine.listed = one.phase
@@ -92,14 +92,14 @@
             self._planned_at = -math.inf  # look for something else at once
         kind, zone, spot = message.offer
         for host in message.hosts:
-            self.desk.sessions.machine(host, "", kind, zone, spot, now)
+            self.scheduler.sessions.machine(host, "", kind, zone, spot, now)
 
     def on_deletion_answered(self, message: DeletionAnswered, now: float) -> None:
         """Forget the machines whose deletion is confirmed."""
         self._deleting.difference_update(message.hosts)
         if message.confirmed:
             for host in message.hosts:
-                if host in self.desk.machines:
-                    self.planner.freed(self.desk.machines[host])
-                self.desk.forget(host, now)
+                if host in self.scheduler.machines:
+                    self.planner.freed(self.scheduler.machines[host])
+                self.scheduler.forget(host, now)
                 self.dispatcher.forget(host)
--- a/ladderfield/leader/ledger.py
+++ b/ladderfield/leader/ledger.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from ladderfield.jobs.model import CANCELLED, DONE, FINAL
-from ladderfield.leader.desk import Desk
 from ladderfield.leader.pages import Page, encoded_size
+from ladderfield.leader.scheduler import Scheduler
 from ladderfield.leadership import EPOCH
 from ladderfield.queues.work import Claim, Job, Record
 
@@ -52,8 +52,8 @@
 class Ledger:
     """Builds the leader's transactions and takes their outcome in."""
 
-    def __init__(self, desk: Desk, epoch_stamp: int, txn_ops: int) -> None:
-        self.desk, self.epoch_stamp, self.most = desk, epoch_stamp, txn_ops
+    def __init__(self, scheduler: Scheduler, epoch_stamp: int, txn_ops: int) -> None:
+        self.scheduler, self.epoch_stamp, self.most = scheduler, epoch_stamp, txn_ops
 
     def collect(self, finished_too: bool, most: int | None = None) -> Transaction | None:
         """The next transaction, of at most so many changes, or None if there is nothing to record.
@@ -63,39 +63,46 @@
         along; without ``finished_too`` they don't cause a write of their own. What is over is cleared away, and pages
         are written anew, with changes that nobody waits for.
         """
-        desk = self.desk
-        if not (finished_too or desk.unrecorded or desk.complete or desk.pages.owing):
+        scheduler = self.scheduler
+        if not (finished_too or scheduler.unrecorded or scheduler.complete or scheduler.pages.owing):
             return None
         txn = Transaction(self.epoch_stamp, max(1, min(most or self.most, self.most)))
-        for page in list(desk.pages.owing):
+        for page in list(scheduler.pages.owing):
             self._write(txn, page)
-        if desk.pages.owing:
+        if scheduler.pages.owing:
             # What a write that failed had moved here may stand on record only on a page that would be written next.
             return txn if txn.ops else None
-        for job in list(desk.complete):
-            if txn.left < 1 or (txn.left < 2 and txn.ops and desk.unrecorded):
+        for job in list(scheduler.complete):
+            if txn.left < 1 or (txn.left < 2 and txn.ops and scheduler.unrecorded):
                 break
-            ended = desk.term_from if job.ended_at is None else job.ended_at
-            self._decide(txn, job, {"phase": DONE, "done": job.spec.tasks, "at": round(ended + desk.wall_offset, 3)})
-        ends = {job: job.unsettled for job in desk.unsettled if job not in txn.finals}
-        if desk.unrecorded or (ends and (finished_too or txn.ops)):
+            ended = scheduler.term_from if job.ended_at is None else job.ended_at
+            self._decide(
+                txn, job, {"phase": DONE, "done": job.spec.tasks, "at": round(ended + scheduler.wall_offset, 3)}
+            )
+        ends = {job: job.unsettled for job in scheduler.unsettled if job not in txn.finals}
+        if scheduler.unrecorded or (ends and (finished_too or txn.ops)):
             self._fill(txn, ends)
-        if finished_too and txn.left > 0 and not desk.unrecorded and not desk.complete.keys() - txn.finals.keys():
+        if (
+            finished_too
+            and txn.left > 0
+            and not scheduler.unrecorded
+            and not scheduler.complete.keys() - txn.finals.keys()
+        ):
             self._clear(txn)
         return txn if txn.ops else None
 
     def _clear(self, txn: Transaction) -> None:
         """What may wait until there is nothing else to write."""
-        desk = self.desk
-        for job in list(desk.orphaned)[: txn.left]:
+        scheduler = self.scheduler
+        for job in list(scheduler.orphaned)[: txn.left]:
             # Users are told so already, as it follows from what is on record.
             self._decide(txn, job, {"phase": CANCELLED})
-        for record in list(desk.spent)[: txn.left]:
+        for record in list(scheduler.spent)[: txn.left]:
             txn.guards[record.key] = record.stamp
             txn.deletes.append(record.key)
             txn.ended.append(record)
-        for page in list(desk.pages.dirty):
-            if page.size <= desk.pages.most:
+        for page in list(scheduler.pages.dirty):
+            if page.size <= scheduler.pages.most:
                 self._write(txn, page)
         if txn.left > 0 and txn.most == self.most:
             self._move(txn)
@@ -109,14 +116,14 @@
 
     def _fill(self, txn: Transaction, ends: dict[Job, set[int]]) -> None:
         """Put new claims and ends of tasks on as few pages as they fit."""
-        pages = self.desk.pages
-        claims = list(self.desk.unrecorded)[::-1]  # the last of the list is the oldest
+        pages = self.scheduler.pages
+        claims = list(self.scheduler.unrecorded)[::-1]  # the last of the list is the oldest
         while (claims or ends) and txn.left > 0 and txn.size + pages.most < BYTES:
             page = pages.roomiest(set(txn.pages))
             while claims and page.size + page.cost(claims[-1]) <= pages.most:
                 claim = claims.pop()
                 page.add_claim(claim)
-                del self.desk.unrecorded[claim]
+                del self.scheduler.unrecorded[claim]
             for job in list(ends):
                 room = page.room_for(job, pages.most)
                 if room <= 0:
@@ -127,7 +134,7 @@
                 if rest:
                     ends[job] = rest
                 else:
-                    self.desk.unsettled.pop(job, None)
+                    self.scheduler.unsettled.pop(job, None)
             self._write(txn, page)
 
     def _move(self, txn: Transaction) -> None:
@@ -137,7 +144,7 @@
         long moves first; the rest ends by itself meanwhile. The large page is written, or read as what it is, only
         after this stands.
         """
-        pages = self.desk.pages
+        pages = self.scheduler.pages
         large = pages.large()
         if large is None or txn.size + pages.most > BYTES:
             return
@@ -162,7 +169,7 @@
         assert page in txn.pages, "what moved stands nowhere else once the large page is written"
 
     def _write(self, txn: Transaction, page: Page) -> None:
-        pages = self.desk.pages
+        pages = self.scheduler.pages
         if page in txn.pages or txn.left < 1 or txn.size + pages.most > BYTES:
             return
         txn.guards[page.key] = page.stamp
@@ -175,12 +182,12 @@
 
     def applied(self, txn: Transaction, ledger: int, now: float) -> None:
         """The transaction is on record."""
-        desk = self.desk
+        scheduler = self.scheduler
         new = sum(not claim.recorded for claims, _ in txn.pages.values() for claim in claims)
         log.debug(
             "on record: %d claims and %d that go on, on %d pages, %d ends of jobs, %d records cleared; %d claims wait",
             new, sum(len(claims) for claims, _ in txn.pages.values()) - new, len(txn.pages), len(txn.finals),
-            len(txn.deletes), len(desk.unrecorded),
+            len(txn.deletes), len(scheduler.unrecorded),
         )  # fmt: skip
         for page, (claims, done) in txn.pages.items():
             page.stamp = ledger
@@ -188,14 +195,14 @@
                 if not claim.recorded:
                     claim.recorded = True
                     if claim.job.claims.get(claim.index) is claim and claim.stopping is None:
-                        desk.push(desk.machines[claim.host])
+                        scheduler.push(scheduler.machines[claim.host])
             for job, tasks in done.items():
                 job.unsettled -= tasks
         for job, phase in txn.finals.items():
             log.info("job %s: %s", job.uid, phase)
-            desk.decided(job, phase, now)
+            scheduler.decided(job, phase, now)
         for record in txn.ended:
-            desk.spent.pop(record, None)
+            scheduler.spent.pop(record, None)
 
     def restamp(self, txn: Transaction, stamps: dict[str, int]) -> None:
         """Take the versions on record and write again, with what is known now.
@@ -204,24 +211,24 @@
         """
         for page in txn.pages:
             page.stamp = stamps.get(page.key, page.stamp)
-            self.desk.pages.owing.add(page)
+            self.scheduler.pages.owing.add(page)
         for job in txn.finals:
             if stamps.get(FINAL + job.uid):
                 # Cancelled at the last moment, or done by our own earlier copy. Either way it is final, and the view
                 # says which: a guess would cancel, or start, what waits for it.
-                self.desk.complete.pop(job, None)
-                self.desk.orphaned.pop(job, None)
+                self.scheduler.complete.pop(job, None)
+                self.scheduler.orphaned.pop(job, None)
         for record in txn.ended:
             record.stamp = stamps.get(record.key, record.stamp)
             if record.stamp == 0:
-                self.desk.spent.pop(record, None)
+                self.scheduler.spent.pop(record, None)
 
     def refused(self, txn: Transaction) -> None:
         """Put together anew, and smaller, what the state service will never take.
 
         Its limits must be smaller than we were told. Nothing of the transaction is on record.
         """
-        desk, pages = self.desk, self.desk.pages
+        scheduler, pages = self.scheduler, self.scheduler.pages
         self.most = max(1, self.most // 2)
         pages.most = max(LEAST_BYTES, pages.most // 2)
         for large, moved, done in txn.moved:
@@ -237,10 +244,10 @@
         for page in again_all:
             for claim in [claim for claim in page.claims if not claim.recorded]:
                 page.drop_claim(claim)
-                desk.unrecorded[claim] = None
+                scheduler.unrecorded[claim] = None
             for job in list(page.done):
                 again = page.done[job] & job.unsettled
                 page.drop_done(job, again)
                 if again and job.final is None:
-                    desk.unsettled[job] = None
+                    scheduler.unsettled[job] = None
             pages.spoil(page)
--- a/ladderfield/leader/room.py
+++ b/ladderfield/leader/preemption.py
@@ -16,7 +16,7 @@
 from ladderfield.workers.machine import Machine
 
 if TYPE_CHECKING:
-    from ladderfield.leader.desk import Desk
+    from ladderfield.leader.scheduler import Scheduler
 
 log = logging.getLogger(__name__)
 
@@ -25,11 +25,11 @@
 FETCH = 2.0  # a second of a replica's fetch is worth so many seconds of work of lower rank
 
 
-class RoomMaker:
-    """Stops work on the desk's tables, and remembers for whom."""
+class Preemption:
+    """Stops work on the scheduler's tables, and remembers for whom."""
 
-    def __init__(self, desk: Desk) -> None:
-        self.desk = desk
+    def __init__(self, scheduler: Scheduler) -> None:
+        self.scheduler = scheduler
         self._hopeless: set[Shape] = set()  # replicas of this shape find nothing to clear in this pass
         self._reclaimed_at = -math.inf
 
@@ -37,7 +37,7 @@
         """A pass begins."""
         self._hopeless.clear()
         # What teams owe each other is gone through once a round of ticks, not with every report.
-        self._reclaims = now - self._reclaimed_at >= RECLAIM * self.desk.report_s
+        self._reclaims = now - self._reclaimed_at >= RECLAIM * self.scheduler.report_s
         if self._reclaims:
             self._reclaimed_at = now
 
@@ -65,11 +65,11 @@
 
     def within_limit(self, job: Job, now: float) -> None:
         """Have a team's lower ranks give way to its own production replica that the team's limit would keep out."""
-        teams, spec = self.desk.teams, job.spec
+        teams, spec = self.scheduler.teams, job.spec
         over = teams.over_limit(spec)
         own = [
             claim
-            for machine in self.desk.machines.values()
+            for machine in self.scheduler.machines.values()
             for claim in machine.claims.values()
             if claim.job.spec.team == spec.team and claim.job.order[0] > job.order[0]
         ]
@@ -80,13 +80,13 @@
                 break
             over -= claim.job.spec.cpus
             log.info("job %s: task %s gives way within the team's limit", job.uid, task_name(claim.task))
-            self.desk.stop(claim, "preempted", now)
+            self.scheduler.stop(claim, "preempted", now)
 
     def for_guarantee(self, job: Job, machines: list[Machine], now: float) -> None:
         """Take back for a team within its guarantee what others borrowed; they keep all of their own guarantee."""
         if not self._reclaims:
             return
-        teams = self.desk.teams
+        teams = self.scheduler.teams
         spare = teams.borrowed()
         for claim in (claim for machine in machines for claim in machine.claims.values()):
             if claim.stopping is not None and claim.job.spec.team in spare:
@@ -102,8 +102,8 @@
     def _loss(self, claim: Claim, now: float) -> float:
         """The seconds that are lost if it has to begin anew; a run more where its job would then miss an aim."""
         ran = now - (claim.running_at or now)
-        outlook = self.desk.outlook
-        return ran + (outlook.run_s(claim.job) if outlook.harmed(claim.job, ran, now) else 0.0)
+        estimates = self.scheduler.estimates
+        return ran + (estimates.run_s(claim.job) if estimates.harmed(claim.job, ran, now) else 0.0)
 
     def _clear(
         self,
@@ -116,8 +116,8 @@
         once: bool = False,
     ) -> list[Claim]:
         """Clear room for up to so many tasks of a job, where the least is lost; the claims that were stopped."""
-        desk, stopped = self.desk, list[Claim]()
-        while most > sum(1 for until in job.held.values() if until > now) and desk.teams.room(job.spec):
+        scheduler, stopped = self.scheduler, list[Claim]()
+        while most > sum(1 for until in job.held.values() if until > now) and scheduler.teams.room(job.spec):
             best: tuple[float, str, list[Claim]] | None = None
             for machine in machines:
                 if now < machine.hold_until or not placeable(job, machine):
@@ -137,12 +137,12 @@
                     best = (lost, machine.host, chosen)
             if best is None or not best[2]:
                 break
-            machine = desk.machines[best[1]]
-            job.held[machine.host] = machine.hold_until = now + HOLD * desk.report_s
+            machine = scheduler.machines[best[1]]
+            job.held[machine.host] = machine.hold_until = now + HOLD * scheduler.report_s
             machine.hold_rank = job.order[0]
             log.info("job %s: %d tasks on %s give way", job.uid, len(best[2]), machine.host)
             for claim in best[2]:
-                desk.stop(claim, "preempted", now)
+                scheduler.stop(claim, "preempted", now)
             stopped += best[2]
             if once:
                 break
--- a/ladderfield/leader/desk.py
+++ b/ladderfield/leader/scheduler.py
@@ -26,10 +26,10 @@
     jobs_on,
     parse_types,
 )
+from ladderfield.leader.estimates import Estimates
 from ladderfield.leader.failure_detector import SILENT, FailureDetector
-from ladderfield.leader.outlook import Outlook
 from ladderfield.leader.pages import HOSTS, Page, Pages
-from ladderfield.leader.room import RoomMaker
+from ladderfield.leader.preemption import Preemption
 from ladderfield.leader.sessions import Sessions
 from ladderfield.leader.waiting import Waiting
 from ladderfield.queues.pick import Queues, Tier, tiers
@@ -52,7 +52,7 @@
 BLAME = 2  # different jobs that failed on a machine since its last success make it sick
 
 
-class Desk:
+class Scheduler:
     """The leader's tables."""
 
     def __init__(
@@ -62,7 +62,7 @@
         now: float,
         wall: float,
         grace_s: float,
-        chains: DependencyGraph,
+        dependencies: DependencyGraph,
         before: Mapping[str, float] | None = None,
     ) -> None:
         workers = settings.cluster.workers
@@ -87,11 +87,11 @@
         self.changed = True  # something since the last pass could let a task start
         self.firsts, self.eldest = Share(), Share()  # room for jobs that have waited for long
         self._attempts = 0
-        self.outlook = Outlook(settings, self.wall_offset)
-        self.waiting = Waiting(self, chains)
+        self.estimates = Estimates(settings, self.wall_offset)
+        self.waiting = Waiting(self, dependencies)
         self.sessions = Sessions(self)
         self.detector = FailureDetector(self, now + grace_s, before or {}, wall - now)
-        self.room = RoomMaker(self)
+        self.preemption = Preemption(self)
         self.push: Callable[[Machine], None] = lambda machine: None
 
     # -- what is on record -------------------------------------------------------------------------------------
@@ -179,7 +179,7 @@
             if job is None:
                 spec = msgspec.convert(entry["spec"], JobSpec)
                 job = self.jobs[uid] = Job(spec, entry["at"] - self.wall_offset, entry["block"])
-                self.outlook.arrived(job)
+                self.estimates.arrived(job)
                 self.waiting.tie(job)
                 self.changed = True
                 if uid in self.heard:
@@ -219,7 +219,7 @@
         It counts like the record, and is remembered until that is seen, as the job itself may be on record unseen too.
         """
         job = self.jobs.get(uid)
-        if uid in self.heard or self.waiting.chains.cancelled(uid) or (job is not None and job.final is not None):
+        if uid in self.heard or self.waiting.dependencies.cancelled(uid) or (job is not None and job.final is not None):
             return
         self.heard[uid] = since
         while len(self.heard) > HEARD:
@@ -323,13 +323,13 @@
         self._deal(machines)
         for job in self.jobs.values():
             if job.order[0] == 0 and job.queued and job.final is None and not self.teams.room(job.spec):
-                self.room.within_limit(job, now)
-        ready = tiers(self.jobs.values(), self.teams, lambda job: self.outlook.rating(job, now), now)
+                self.preemption.within_limit(job, now)
+        ready = tiers(self.jobs.values(), self.teams, lambda job: self.estimates.rating(job, now), now)
         if not ready:
             return 0
         ready = self._old_first(ready, machines, now)
         self.queues.begin(machines)
-        self.room.begin(now)
+        self.preemption.begin(now)
         free = [machine for machine in machines if machine.cpus > 0]
         # Spot machines ask first, then those that a replica keeps up anyway, then small and full ones, so that the
         # dear and the empty run dry and can be returned.
@@ -356,7 +356,7 @@
         for score in (1, 0):
             if score == 0 and tier.rank == 0:
                 for job in tier.jobs:
-                    self.room.for_replicas(job, prompt, now)
+                    self.preemption.for_replicas(job, prompt, now)
                 # A replica whose image has to be fetched starts soonest where that goes quickest.
                 asking.sort(key=lambda one: -one.kind.fetch_gb_per_s)
             for machine in asking:
@@ -365,7 +365,7 @@
         if tier.owed:
             for job in sorted(tier.jobs, key=lambda one: one.uid):
                 if job.queued and now - job.since > OWED * self.report_s:
-                    self.room.for_guarantee(job, machines, now)
+                    self.preemption.for_guarantee(job, machines, now)
         return made
 
     def _old_first(self, ready: list[Tier], machines: list[Machine], now: float) -> list[Tier]:
@@ -376,8 +376,8 @@
         """
         by_age: dict[int, set[Job]] = {}
         for job in (job for tier in ready for job in tier.jobs):
-            if self.outlook.old(job, now):
-                by_age.setdefault(self.outlook.age(job), set()).add(job)
+            if self.estimates.old(job, now):
+                by_age.setdefault(self.estimates.age(job), set()).add(job)
         if not by_age:
             return ready
         self.firsts.limit = self.eldest.limit = OLD_SHARE / 2 * sum(machine.kind.cpus for machine in machines)
@@ -408,7 +408,7 @@
         def may_go(job: Job) -> bool:
             if job.failed_hosts.get(machine.host, now) > now:
                 return False
-            return score == 1 or self.room.may_go_to(job, machine, now)
+            return score == 1 or self.preemption.may_go_to(job, machine, now)
 
         made = 0
         while (jobs := tier.eligible(machine, score, allowed, may_go)) and (pulled := self.queues.pull(machine, jobs)):
@@ -500,5 +500,5 @@
         for claim in list(machine.claims.values()):
             spec = claim.job.spec
             ran = now - (claim.running_at if claim.running_at is not None else now)
-            if spec.service or spec.checkpoint_s or self.outlook.run_s(claim.job) - ran > left:
+            if spec.service or spec.checkpoint_s or self.estimates.run_s(claim.job) - ran > left:
                 self.stop(claim, "the machine leaves", now)
--- a/ladderfield/leader/sessions.py
+++ b/ladderfield/leader/sessions.py
@@ -14,7 +14,7 @@
 from ladderfield.workers.report import Report, Rung
 
 if TYPE_CHECKING:
-    from ladderfield.leader.desk import Desk
+    from ladderfield.leader.scheduler import Scheduler
 
 log = logging.getLogger(__name__)
 
@@ -24,20 +24,20 @@
 
 
 class Sessions:
-    """Takes reports in and hands orders out, on the desk's tables."""
+    """Takes reports in and hands orders out, on the scheduler's tables."""
 
-    def __init__(self, desk: Desk) -> None:
-        self.desk = desk
+    def __init__(self, scheduler: Scheduler) -> None:
+        self.scheduler = scheduler
 
     def machine(self, host: str, endpoint: str, kind: str, zone: str, spot: bool, now: float) -> Machine | None:
         """The machine's entry, made or completed from what a report or the list says; None if it is gone."""
-        desk = self.desk
-        if host in desk.gone:
+        scheduler = self.scheduler
+        if host in scheduler.gone:
             return None
-        known: MachineType = desk.types.get(kind, UNKNOWN)
-        machine = desk.machines.get(host)
+        known: MachineType = scheduler.types.get(kind, UNKNOWN)
+        machine = scheduler.machines.get(host)
         if machine is None:
-            machine = desk.machines[host] = Machine(host, endpoint, known, zone, spot, now)
+            machine = scheduler.machines[host] = Machine(host, endpoint, known, zone, spot, now)
         elif machine.kind is UNKNOWN or not machine.endpoint:
             machine.learn(endpoint, known, zone, spot)
         return machine
@@ -53,11 +53,11 @@
             self._note_answer(machine, report, now)
         if order <= (machine.tenure, machine.tick) and heard_before is not None:
             return machine  # overtaken on its way: what it lists is no longer so
-        accepted = report.epoch == self.desk.epoch
+        accepted = report.epoch == self.scheduler.epoch
         self._note_sign_of_life(machine, accepted, now)
         if report.tenure > machine.tenure:
             machine.doubts.clear()  # orders of an earlier session are refused from now on
-            recently = heard_before is not None and now - heard_before < self.desk.lease_s / 2
+            recently = heard_before is not None and now - heard_before < self.scheduler.lease_s / 2
             if recently and answered_before is not None:
                 # We heard it all the time and answered, and still its lease has run out.
                 self.ignored(machine, DEAF, now)
@@ -71,40 +71,40 @@
 
     def _note_answer(self, machine: Machine, report: Report, now: float) -> None:
         """Our answer to this report renews the machine's lease."""
-        desk, order = self.desk, (report.tenure, report.tick)
+        scheduler, order = self.scheduler, (report.tenure, report.tick)
         machine.answered_at = now
         newest = machine.answered is None or order > machine.answered  # not a late copy
-        if report.epoch == desk.epoch and newest:
+        if report.epoch == scheduler.epoch and newest:
             machine.reported_at = now
             if machine.mute:
-                machine.mute, desk.changed = False, True
+                machine.mute, scheduler.changed = False, True
         machine.answered = max(order, machine.answered or order)
 
     def _note_sign_of_life(self, machine: Machine, accepted: bool, now: float) -> None:
         """The machine is there; only with our epoch ``accepted`` does it count as well."""
-        desk = self.desk
+        scheduler = self.scheduler
         if machine.heard_at is None:
             log.info("machine %s: %s in %s is up", machine.host, machine.kind.name, machine.zone)
             machine.up_at = now
         machine.heard_at = now
         if accepted:
-            if machine.fresh_at is None or now - machine.fresh_at > desk.report_s:
-                desk.changed = True
+            if machine.fresh_at is None or now - machine.fresh_at > scheduler.report_s:
+                scheduler.changed = True
             machine.fresh_at = now
 
     def _check_machine(self, machine: Machine, report: Report, now: float) -> None:
         """Whether the machine can be put on record, and whether the cloud takes it back."""
-        if not machine.sick and not self.desk.pages.holds(machine):
+        if not machine.sick and not self.scheduler.pages.holds(machine):
             log.warning("machine %s: its name or address is too long to be put on record", machine.host)
             machine.sick = True
         if report.recall_s is not None and machine.recall_at is None:
             machine.recall_at = now + report.recall_s
             log.info("machine %s: taken back in %.1f s", machine.host, report.recall_s)
-            self.desk.recalled(machine, now)
+            self.scheduler.recalled(machine, now)
 
     def _take_tasks(self, machine: Machine, report: Report, accepted: bool, answering: bool, now: float) -> None:
         """Compare the tasks that the report lists with the machine's claims."""
-        desk = self.desk
+        scheduler = self.scheduler
         listed: dict[TaskId, Rung] = {rung.task(): rung for rung in report.rungs}
         machine.seen = {task: (rung.attempt, rung.phase) for task, rung in listed.items()}
         lost = False
@@ -116,13 +116,13 @@
                 sent = claim.sent_tenure
                 if self._gone(machine, claim, report, answering):
                     log.info("task %s: attempt %d is not on %s", task_name(claim.task), claim.attempt, machine.host)
-                    desk.end(claim, False, now)
+                    scheduler.end(claim, False, now)
                 lost = lost or (sent == report.tenure and claim.sent_tenure is None)
         if lost:
             self.ignored(machine, 1, now)
         if machine.deaf_since is not None:
-            for claim in [one for one in machine.claims.values() if desk.unsent(one, machine)]:
-                desk.end(claim, False, now)
+            for claim in [one for one in machine.claims.values() if scheduler.unsent(one, machine)]:
+                scheduler.end(claim, False, now)
 
     def ignored(self, machine: Machine, signs: int, now: float) -> None:
         """What we told the machine had no effect.
@@ -134,8 +134,8 @@
         if machine.unheeded >= DEAF and machine.deaf_since is None:
             machine.deaf_since = now
             log.warning("machine %s: reports, but does not hear us", machine.host)
-            self.desk.queues.withdraw(machine)
-            self.desk.changed = True
+            self.scheduler.queues.withdraw(machine)
+            self.scheduler.changed = True
 
     def _gone(self, machine: Machine, claim: Claim, report: Report, answering: bool) -> bool:
         """Whether a claim that the machine doesn't list is surely dead.
@@ -160,7 +160,7 @@
         return claim.stopping is not None
 
     def _listed(self, machine: Machine, claim: Claim, rung: Rung, now: float) -> None:
-        desk, job = self.desk, claim.job
+        scheduler, job = self.scheduler, claim.job
         if (claim.phase is None and not claim.inherited) or (claim.stopping and rung.phase in ("flushing", "exited")):
             machine.heeds()  # a launch or a stop of ours shows
         claim.sent_tenure = machine.tenure
@@ -175,19 +175,19 @@
         if rung.cause == "done":
             if claim.running_at is not None and len(job.finished_s) < 99:
                 job.finished_s.append(now - claim.running_at)
-                desk.outlook.finished(job.spec, now - claim.running_at)
+                scheduler.estimates.finished(job.spec, now - claim.running_at)
             machine.finished += 1
             machine.blamed.clear()
             machine.use_image(job.spec.image, job.spec.image_gb)
             job.errors = 0
             job.failed_hosts.pop(machine.host, None)
         log.debug("task %s: attempt %d on %s: %s", task_name(claim.task), claim.attempt, machine.host, rung.cause)
-        desk.end(claim, rung.cause == "done", now)
+        scheduler.end(claim, rung.cause == "done", now)
         if rung.cause == "error":
-            desk.failed(claim, machine, now)
+            scheduler.failed(claim, machine, now)
         elif rung.cause in ("no_room", "in_use", "unknown"):
             log.warning("task %s: %s refused it: %s", task_name(claim.task), machine.host, rung.cause)
-            job.not_before = now + desk.report_s
+            job.not_before = now + scheduler.report_s
 
     def orders(self, machine: Machine, now: float, tick: int | None, may_start: bool = True) -> list[Order]:
         """What the machine has to be told now. ``tick``: the report that this answers, None for a push.
@@ -210,7 +210,7 @@
     def _stop_orders(self, machine: Machine, claim: Claim, now: float, may_relaunch: bool) -> list[Order]:
         """What stops a claim's attempt, if it has to be told now."""
         attempt, phase = machine.seen.get(claim.task, (None, ""))
-        resend = RESEND * self.desk.report_s
+        resend = RESEND * self.scheduler.report_s
         if attempt == claim.attempt and phase != "exited" and now - claim.stop_at > resend:
             again = claim.stop_at > -math.inf
             if again and phase != "flushing":
@@ -233,10 +233,10 @@
         if attempt is not None:
             if attempt in machine.doubts and claim.sent_tenure is None:
                 # The old attempt has to stay listed, as it shields against its own late copies.
-                self.desk.avoid(claim.job, machine, now)
-                self.desk.end(claim, False, now)
+                self.scheduler.avoid(claim.job, machine, now)
+                self.scheduler.end(claim, False, now)
             return []
-        if claim.sent_tenure is not None and now - claim.sent_at <= RESEND * self.desk.report_s:
+        if claim.sent_tenure is not None and now - claim.sent_at <= RESEND * self.scheduler.report_s:
             return []
         claim.sent_tenure, claim.sent_at = machine.tenure, now
         if tick is None:
@@ -271,7 +271,7 @@
 
     def _settled(self, task: TaskId) -> bool:
         """Whether the task's end is on record, so that the worker may forget it."""
-        job = self.desk.jobs.get(task[0])
+        job = self.scheduler.jobs.get(task[0])
         return job is None or job.final is not None or task[1] not in job.unsettled
 
     def answered(self, machine: Machine, attempts: Iterable[int], executed: bool) -> None:
--- a/ladderfield/leader/test_failure_detector.py
+++ b/ladderfield/leader/test_failure_detector.py
@@ -2,47 +2,47 @@
 
 from __future__ import annotations
 
-from ladderfield.testing.leader import DeskHarness, inherited, launched, rung
+from ladderfield.testing.leader import SchedulerHarness, inherited, launched, rung
 from ladderfield.workers.machine import CLOCKS
 
 
 def test_a_silent_machines_claims_outlast_any_earlier_leaders_answers() -> None:
-    harness = DeskHarness(inherited())
+    harness = SchedulerHarness(inherited())
     over = (36.0 + 12.0) * CLOCKS
-    harness.desk.sweep(over - 0.1)
+    harness.scheduler.sweep(over - 0.1)
     assert harness.machine().claims
-    harness.desk.sweep(over + 0.1)
+    harness.scheduler.sweep(over + 0.1)
     assert not harness.machine().claims
 
 
 def test_the_wait_for_earlier_leaders_ends_when_all_others_say_they_follow() -> None:
-    harness = DeskHarness(inherited())
-    harness.desk.detector.no_other_leader(3.0)
-    harness.desk.sweep(3.0 + 12.0)
+    harness = SchedulerHarness(inherited())
+    harness.scheduler.detector.no_other_leader(3.0)
+    harness.scheduler.sweep(3.0 + 12.0)
     assert harness.machine().claims, "but the lease itself may have been renewed until then"
-    harness.desk.sweep(3.0 + 12.0 * CLOCKS + 0.01)
+    harness.scheduler.sweep(3.0 + 12.0 * CLOCKS + 0.01)
     assert not harness.machine().claims
 
 
 def test_a_lease_is_counted_from_our_last_answer() -> None:
-    harness = DeskHarness()
+    harness = SchedulerHarness()
     launched(harness, 1)
     harness.report(now=5.0, rungs=(rung(0, harness.machine().claims["req-000001", 0].attempt),))
-    harness.desk.sweep(5.0 + 12.0)
+    harness.scheduler.sweep(5.0 + 12.0)
     assert harness.machine().claims
-    harness.desk.sweep(5.0 + 12.0 * CLOCKS + 0.01)
+    harness.scheduler.sweep(5.0 + 12.0 * CLOCKS + 0.01)
     assert not harness.machine().claims
 
 
 def test_machines_that_fall_silent_together_get_longer() -> None:
-    harness = DeskHarness()
+    harness = SchedulerHarness()
     for host in ("a", "b", "c"):
         harness.report(host, now=1.0)
     harness.report("c", now=7.0)
-    assert harness.desk.sweep(7.5) == [], "two of three: a cut"
-    alone = DeskHarness()
+    assert harness.scheduler.sweep(7.5) == [], "two of three: a cut"
+    alone = SchedulerHarness()
     for host in ("a", "b", "c"):
         alone.report(host, now=1.0)
     for host in ("b", "c"):
         alone.report(host, now=7.0)
-    assert alone.desk.sweep(7.5) == ["a"]
+    assert alone.scheduler.sweep(7.5) == ["a"]
--- a/ladderfield/leader/test_ledger.py
+++ b/ladderfield/leader/test_ledger.py
@@ -4,12 +4,12 @@
 
 from ladderfield.leadership import EPOCH
 from ladderfield.testing import accepted, job
-from ladderfield.testing.leader import DeskHarness, launched, rung
+from ladderfield.testing.leader import SchedulerHarness, launched, rung
 from ladderfield.view import Change
 
 
 def test_every_write_is_guarded_by_the_epoch_and_the_records_versions() -> None:
-    harness = DeskHarness()
+    harness = SchedulerHarness()
     harness.submit(rungs=1)
     harness.report()
     txn = harness.ledger.collect(True)
@@ -26,27 +26,27 @@
 
 
 def test_a_job_on_two_records_counts_once_and_both_go_with_the_last_of_their_jobs() -> None:
-    harness = DeskHarness()
+    harness = SchedulerHarness()
     one, two = job("req-000001", rungs=1), job("req-000002", rungs=1)
-    harness.desk.take_changes(
+    harness.scheduler.take_changes(
         [Change("lf/j/req-000001", accepted(one), 5), Change("lf/j/req-000002", accepted(two, one), 6)], 0.0
     )
-    assert list(harness.desk.jobs) == ["req-000001", "req-000002"]
+    assert list(harness.scheduler.jobs) == ["req-000001", "req-000002"]
     harness.tell("req-000001")
     txn = harness.ledger.collect(True)
     assert txn is not None and txn.deletes == ["lf/j/req-000001"]
     harness.ledger.applied(txn, 12, 1.0)
     # Read anew, a batch is not in the order of time: the end may stand before the record that names the job.
     late = Change("lf/j/req-000003", accepted(job("req-000003", rungs=1)), 13)
-    harness.desk.take_changes([Change("lf/f/req-000003", {"phase": "done"}, 14), late], 0.0)
+    harness.scheduler.take_changes([Change("lf/f/req-000003", {"phase": "done"}, 14), late], 0.0)
     harness.tell("req-000002")
-    assert not harness.desk.jobs
+    assert not harness.scheduler.jobs
     txn = harness.ledger.collect(True)
     assert txn is not None and set(txn.deletes) == {"lf/j/req-000002", "lf/j/req-000003"}
 
 
 def test_done_is_reaped_only_after_it_is_on_record() -> None:
-    harness = DeskHarness()
+    harness = SchedulerHarness()
     attempt = launched(harness, 2)
     orders = harness.report(rungs=(rung(0, attempt, "exited", "done"),), now=2.0)
     assert not [order for order in orders if order["verb"] == "reap"]
@@ -56,7 +56,7 @@
 
 
 def test_a_stale_record_is_written_again_under_its_present_version() -> None:
-    harness = DeskHarness()
+    harness = SchedulerHarness()
     harness.submit(rungs=1)
     harness.report()
     txn = harness.ledger.collect(True)
--- a/ladderfield/leader/test_limits.py
+++ b/ladderfield/leader/test_limits.py
@@ -13,22 +13,22 @@
 from ladderfield.leader.pages import encoded_size
 from ladderfield.settings import StateLimits
 from ladderfield.testing import TYPES, accepted, job
-from ladderfield.testing.leader import EPOCH_NOW, DeskHarness, rung
+from ladderfield.testing.leader import EPOCH_NOW, SchedulerHarness, rung
 
 LIMIT = 2 * 1024
 OPS = 5
 OLD = (EPOCH_NOW - 1) << 32
 
 
-def limited(data: dict[str, Any] | None = None) -> DeskHarness:
+def limited(data: dict[str, Any] | None = None) -> SchedulerHarness:
     """A leader that keeps to the smaller limits, whatever it finds on record."""
-    harness = DeskHarness(data)
-    harness.desk.pages.most = int(LIMIT * FULL)
-    harness.ledger = Ledger(harness.desk, 3, OPS)
+    harness = SchedulerHarness(data)
+    harness.scheduler.pages.most = int(LIMIT * FULL)
+    harness.ledger = Ledger(harness.scheduler, 3, OPS)
     return harness
 
 
-def write(harness: DeskHarness, record: dict[str, Any], most: int | None = None, times: int = 10**6) -> int:
+def write(harness: SchedulerHarness, record: dict[str, Any], most: int | None = None, times: int = 10**6) -> int:
     """Write what is due as the state service with the smaller limits would take it; how many changes that was."""
     ops = 0
     while times and (txn := harness.ledger.collect(True, most)) is not None:
@@ -51,13 +51,13 @@
 
 def read_back(record: dict[str, Any]) -> tuple[set[tuple[str, int, int]], set[tuple[str, int]]]:
     """What a successor would find: claims that bind, and finished tasks."""
-    harness = DeskHarness({key: (value, 5) for key, value in record.items()})
+    harness = SchedulerHarness({key: (value, 5) for key, value in record.items()})
     claims = {
         (claim.job.uid, claim.index, claim.attempt)
-        for one in harness.desk.jobs.values()
+        for one in harness.scheduler.jobs.values()
         for claim in one.claims.values()
     }
-    done = {(one.uid, index) for one in harness.desk.jobs.values() for index in one.finished}
+    done = {(one.uid, index) for one in harness.scheduler.jobs.values() for index in one.finished}
     return claims, done
 
 
@@ -107,17 +107,17 @@
     for host in range(1499):
         harness.report(f"i-{host:06}", endpoint=f"10.1.{host // 250}.{host % 250}:9000")
     harness.report(odd, endpoint="10.2.0.1:9000")
-    while harness.desk.changed:
-        harness.desk.schedule(2.0)
-    claims = list(harness.desk.unrecorded)
+    while harness.scheduler.changed:
+        harness.scheduler.schedule(2.0)
+    claims = list(harness.scheduler.unrecorded)
     assert len(claims) == 3000
     record = dict[str, Any]()
     ops = write(harness, record)
     assert all(claim.recorded for claim in claims) and ops < len(claims) / 15, "each change records many claims"
     for claim in claims[::2]:
-        harness.desk.end(claim, True, 3.0)
+        harness.scheduler.end(claim, True, 3.0)
     write(harness, record)
-    assert all(encoded_size(page) <= page.size for page in harness.desk.pages.pages)
+    assert all(encoded_size(page) <= page.size for page in harness.scheduler.pages.pages)
 
 
 def test_no_page_is_left_unwritten_because_what_went_along_with_its_claims_filled_it() -> None:
@@ -130,10 +130,10 @@
         harness.submit("req-000001", owner="blue", rungs=700, cores=2.0)
         for host in range(3):
             harness.report(f"m{host}" + "x" * longer * (host == 0))
-        one = harness.desk.jobs["req-000001"]
+        one = harness.scheduler.jobs["req-000001"]
         one.unsettled |= set(range(100, 600, 2))
         one.finished |= one.unsettled
-        harness.desk.unsettled[one] = None
+        harness.scheduler.unsettled[one] = None
         write(harness, {}, OPS - 1)
         assert all(claim.recorded for claim in one.claims.values()) and not one.unsettled
 
@@ -142,10 +142,10 @@
     harness = limited()
     harness.submit(rungs=4, owner="blue")
     harness.report("x" * 3000)
-    assert harness.desk.machines["x" * 3000].sick and not harness.desk.unrecorded
+    assert harness.scheduler.machines["x" * 3000].sick and not harness.scheduler.unrecorded
     harness.report("m")
     write(harness, {})
-    assert harness.report("m") and harness.desk.sweep(2.0) == ["x" * 3000]
+    assert harness.report("m") and harness.scheduler.sweep(2.0) == ["x" * 3000]
 
 
 def test_pages_of_the_old_size_are_read_and_nothing_on_them_is_lost_between_any_two_writes() -> None:
@@ -182,11 +182,11 @@
 def test_what_changes_on_pages_of_the_old_size_goes_on_others() -> None:
     record = old_record(1)
     harness = limited({key: (value, 5) for key, value in record.items()})
-    ended = harness.desk.jobs["req-000002"].claims[3]
-    harness.desk.end(ended, True, 1.0)
-    again = harness.desk.jobs["req-000002"].claims[4]
-    harness.desk.end(again, False, 1.0)
-    moved = harness.desk.claim(again.job, 4, harness.desk.machines[ended.host], ended.host, 1.0)
+    ended = harness.scheduler.jobs["req-000002"].claims[3]
+    harness.scheduler.end(ended, True, 1.0)
+    again = harness.scheduler.jobs["req-000002"].claims[4]
+    harness.scheduler.end(again, False, 1.0)
+    moved = harness.scheduler.claim(again.job, 4, harness.scheduler.machines[ended.host], ended.host, 1.0)
     txn = harness.ledger.collect(False)
     assert txn is not None and "lf/p/0" not in txn.puts, "the large page can't be written"
     check(txn)
@@ -212,11 +212,11 @@
 
 
 def test_a_write_that_is_refused_for_good_is_made_smaller_and_stops_nothing_behind_it() -> None:
-    harness = DeskHarness()
+    harness = SchedulerHarness()
     harness.submit(rungs=400, owner="blue")
     for host in range(200):
         harness.report(f"m{host}")
-    claims = list(harness.desk.unrecorded)
+    claims = list(harness.scheduler.unrecorded)
     refused = 0
     record = dict[str, Any]()
     while (txn := harness.ledger.collect(True)) is not None:
@@ -254,7 +254,7 @@
 def test_an_urgent_stop_does_not_wait_for_pages_that_are_moved() -> None:
     record = old_record(1)
     harness = limited({key: (value, 5) for key, value in record.items()})
-    claim = harness.desk.jobs["req-000002"].claims[7]
+    claim = harness.scheduler.jobs["req-000002"].claims[7]
     harness.tell("req-000002", "cancelled")
     orders = harness.report(claim.host, (rung(7, claim.attempt, uid="req-000002"),))
     assert [order["verb"] for order in orders] == ["stop"]
--- a/ladderfield/leader/test_orders.py
+++ b/ladderfield/leader/test_orders.py
@@ -27,8 +27,8 @@
     async with trio.open_nursery() as nursery:
         leader.dispatcher.nursery = nursery
         leader.dispatcher.dispatch(0.1)  # the call is yet to be made
-        leader.desk.sessions.report(session_report(2, 2), 0.1, answering=True)
-        assert not leader.desk.machines["m"].claims
+        leader.scheduler.sessions.report(session_report(2, 2), 0.1, answering=True)
+        assert not leader.scheduler.machines["m"].claims
         await trio.sleep(0.1)
         nursery.cancel_scope.cancel()
     assert [(body["tenure"], [order["verb"] for order in body["orders"]]) for body in sent] == [(1, ["launch"])]
--- a/ladderfield/leader/test_pages.py
+++ b/ladderfield/leader/test_pages.py
@@ -7,49 +7,49 @@
 from ladderfield.leader.pages import encoded_size
 from ladderfield.queues.work import Claim
 from ladderfield.testing import accepted, job
-from ladderfield.testing.leader import ABOUT, EPOCH_NOW, DeskHarness, rung
+from ladderfield.testing.leader import ABOUT, EPOCH_NOW, SchedulerHarness, rung
 
 NEW = EPOCH_NOW << 32
 
 
-def taken_over(*pages: dict[str, Any], finals: dict[str, Any] | None = None, tasks: int = 2) -> DeskHarness:
+def taken_over(*pages: dict[str, Any], finals: dict[str, Any] | None = None, tasks: int = 2) -> SchedulerHarness:
     """A leader that found a job and these pages on record."""
     data: dict[str, Any] = {"lf/j/req-000001": (accepted(job(rungs=tasks)), 4)}
     hosts = {"m": ABOUT, "n": ABOUT}
     data |= {f"lf/p/{number}": ({"hosts": hosts, "req-000001": page}, 6 + number) for number, page in enumerate(pages)}
-    return DeskHarness(data | {f"lf/f/{uid}": (value, 9) for uid, value in (finals or {}).items()})
+    return SchedulerHarness(data | {f"lf/f/{uid}": (value, 9) for uid, value in (finals or {}).items()})
 
 
-def binding(harness: DeskHarness) -> dict[int, int]:
+def binding(harness: SchedulerHarness) -> dict[int, int]:
     """The claims that bind: task to attempt."""
-    claims = [claim for machine in harness.desk.machines.values() for claim in machine.claims.values()]
+    claims = [claim for machine in harness.scheduler.machines.values() for claim in machine.claims.values()]
     return {claim.index: claim.attempt for claim in claims}
 
 
 def test_many_jobs_need_one_change() -> None:
     """Grown deployments: a record for each job was more changes a second than the state service allows."""
-    harness = DeskHarness()
+    harness = SchedulerHarness()
     for number in range(1, 31):
         harness.submit(f"req-{number:06}", owner="blue", rungs=3)
     for host in range(45):
         harness.report(f"m{host}")
-    while harness.desk.changed:
-        harness.desk.schedule(2.0)
+    while harness.scheduler.changed:
+        harness.scheduler.schedule(2.0)
     txn = harness.ledger.collect(False)
     assert txn is not None and txn.ops == 1 and sum(len(claims) for claims, _ in txn.pages.values()) == 90
 
 
 def test_the_ends_of_tasks_go_along_with_claims_but_cause_no_write_of_their_own() -> None:
-    harness = DeskHarness()
+    harness = SchedulerHarness()
     harness.submit(rungs=5, cores=4.0, owner="blue")
     harness.report()
     harness.record()
     attempt = harness.report()[0]["try"]
     machine = harness.machine()
     claim = machine.claims["req-000001", 0]
-    harness.desk.end(claim, True, 2.0)
+    harness.scheduler.end(claim, True, 2.0)
     assert harness.ledger.collect(False) is None
-    harness.desk.schedule(2.0)
+    harness.scheduler.schedule(2.0)
     txn = harness.ledger.collect(False)
     assert txn is not None and txn.ops == 1
     (page,) = txn.puts.values()
@@ -58,83 +58,85 @@
 
 
 def test_pages_hold_no_more_than_the_state_service_takes() -> None:
-    harness = DeskHarness()
+    harness = SchedulerHarness()
     uids = [f"req-{10**17 + number}" for number in range(50)]
     for uid in uids:
         harness.submit(uid, owner="blue", rungs=99_999, cores=0.01, memoryGb=0.0)
     for host in range(10):
         harness.report(f"machine-with-a-long-name-{host}", yard="zb")
-    while harness.desk.changed and len(harness.desk.unrecorded) < 4000:
-        harness.desk.schedule(2.0)
-    claims = list(harness.desk.unrecorded)
+    while harness.scheduler.changed and len(harness.scheduler.unrecorded) < 4000:
+        harness.scheduler.schedule(2.0)
+    claims = list(harness.scheduler.unrecorded)
     harness.record()
     for claim in claims[::2]:
-        harness.desk.end(claim, True, 3.0)
+        harness.scheduler.end(claim, True, 3.0)
     harness.record()
-    assert len(harness.desk.pages.pages) > 5
-    assert all(encoded_size(page) <= 16 * 1024 for page in harness.desk.pages.pages)
-    assert all(encoded_size(page) <= page.size + 2 for page in harness.desk.pages.pages)
+    assert len(harness.scheduler.pages.pages) > 5
+    assert all(encoded_size(page) <= 16 * 1024 for page in harness.scheduler.pages.pages)
+    assert all(encoded_size(page) <= page.size + 2 for page in harness.scheduler.pages.pages)
 
 
 def test_the_emptiest_page_is_used_again() -> None:
-    harness = DeskHarness()
+    harness = SchedulerHarness()
     harness.submit(rungs=400, owner="blue", cores=4.0)
     now = 2.0
     for _ in range(400):
         harness.report(now=now)
         harness.record()
         for claim in list(harness.machine().claims.values()):
-            harness.desk.end(claim, True, now)
+            harness.scheduler.end(claim, True, now)
         now += 1.0
     harness.record()
-    assert len(harness.desk.pages.pages) <= 2
+    assert len(harness.scheduler.pages.pages) <= 2
 
 
 def test_of_two_claims_on_record_the_later_attempt_counts() -> None:
     harness = taken_over({"a": {"0": [99, "m"]}}, {"a": {"0": [100, "n"]}})
     assert binding(harness) == {0: 100}
-    assert harness.desk.teams.cpus["red"] == 2.0
+    assert harness.scheduler.teams.cpus["red"] == 2.0
     harness.report("m", (rung(0, 99),))
-    assert harness.desk.machines["m"].seen, "it would be stopped as nobody's"
+    assert harness.scheduler.machines["m"].seen, "it would be stopped as nobody's"
 
 
 def test_a_claim_of_a_finished_task_does_not_bind() -> None:
     harness = taken_over({"a": {"0": [99, "m"]}}, {"d": [[0, 0]]})
-    assert binding(harness) == {} and harness.desk.jobs["req-000001"].finished == {0}
+    assert binding(harness) == {} and harness.scheduler.jobs["req-000001"].finished == {0}
 
 
 def test_what_pages_say_of_a_job_that_is_done_counts_for_nothing() -> None:
     harness = taken_over({"a": {"1": [99, "m"]}, "d": [[0, 0]]}, finals={"req-000001": {"phase": "done"}})
     assert binding(harness) == {}
     harness.record()
-    assert not harness.desk.jobs and harness.desk.pages.pages[0].value() == {}
+    assert not harness.scheduler.jobs and harness.scheduler.pages.pages[0].value() == {}
 
 
 def test_a_cancelled_jobs_claims_bind_until_they_are_gone() -> None:
     harness = taken_over({"a": {"1": [99, "m"]}}, finals={"req-000001": {"phase": "cancelled", "at": 995.0}})
     assert binding(harness) == {1: 99}
     harness.record()
-    assert "req-000001" in harness.desk.jobs, "hunted day, ran_cancelled: it was cleared away with its task still on"
-    assert harness.desk.sweep(11.0) == ["m"], "and half of cancel_s after its user was told, the machine goes"
+    assert "req-000001" in harness.scheduler.jobs, (
+        "hunted day, ran_cancelled: it was cleared away with its task still on"
+    )
+    assert harness.scheduler.sweep(11.0) == ["m"], "and half of cancel_s after its user was told, the machine goes"
     (order,) = harness.report("m", (rung(1, 99),))
     assert order["verb"] == "stop"
     harness.report("m", (rung(1, 99, "exited", "stopped"),))
     harness.record()
-    assert not harness.desk.jobs
+    assert not harness.scheduler.jobs
 
 
 def test_tasks_that_finished_are_all_on_record_whichever_page_has_them() -> None:
     harness = taken_over({"d": [[0, 2]]}, {"d": [[4, 4]], "a": {"3": [99, "m"]}}, tasks=6)
-    one = harness.desk.jobs["req-000001"]
+    one = harness.scheduler.jobs["req-000001"]
     assert one.finished == {0, 1, 2, 4}
     claim: Claim = one.claims[3]
-    harness.desk.end(claim, True, 1.0)
+    harness.scheduler.end(claim, True, 1.0)
     harness.record()
-    assert not one.unsettled and sum(len(page.done.get(one, ())) for page in harness.desk.pages.pages) == 5
+    assert not one.unsettled and sum(len(page.done.get(one, ())) for page in harness.scheduler.pages.pages) == 5
 
 
 def test_a_failed_write_is_made_good_with_all_that_was_in_it() -> None:
-    harness = DeskHarness()
+    harness = SchedulerHarness()
     harness.submit(rungs=2)
     harness.report()
     first = harness.ledger.collect(True)
@@ -148,15 +150,15 @@
 
 
 def test_a_small_budget_takes_finals_and_claims_in_turn() -> None:
-    harness = DeskHarness()
+    harness = SchedulerHarness()
     for number in range(1, 9):
         harness.submit(f"req-{number:06}", rungs=1, owner="blue", cores=4.0)
     for host in range(4):
         harness.report(f"m{host}")
     harness.record()
-    for machine in harness.desk.machines.values():
+    for machine in harness.scheduler.machines.values():
         for claim in list(machine.claims.values()):
-            harness.desk.end(claim, True, 2.0)
-    harness.desk.schedule(2.0)
+            harness.scheduler.end(claim, True, 2.0)
+    harness.scheduler.schedule(2.0)
     txn = harness.ledger.collect(True, 4)
     assert txn is not None and txn.ops <= 4 and txn.finals and txn.pages
--- a/ladderfield/leader/test_placement.py
+++ b/ladderfield/leader/test_placement.py
@@ -7,14 +7,14 @@
 import pytest
 
 from ladderfield.testing import accepted, job
-from ladderfield.testing.leader import EPOCH_NOW, DeskHarness, launched, rung
+from ladderfield.testing.leader import EPOCH_NOW, SchedulerHarness, launched, rung
 from ladderfield.workers.machine import CLOCKS
 
 LEASE = 12.0 * CLOCKS
 GRACE = 36.0  # how long an earlier leader may answer
 
 
-def left(*jobs: tuple[dict[str, Any], str], cancelled: bool = False) -> DeskHarness:
+def left(*jobs: tuple[dict[str, Any], str], cancelled: bool = False) -> SchedulerHarness:
     """What an earlier leader left.
 
     Of each job so many first tasks are claimed, each on a machine of its own, whose zone the text names (``a`` is za).
@@ -28,23 +28,23 @@
         data[f"lf/p/{number}"] = ({"hosts": hosts, uid: {"a": claims}}, 6)
         if cancelled:
             data[f"lf/f/{uid}"] = ({"phase": "cancelled", "at": 1000.0}, 7)
-    return DeskHarness(data)
+    return SchedulerHarness(data)
 
 
-def placed(harness: DeskHarness, since: float, until: float, without: str = "") -> str:
+def placed(harness: SchedulerHarness, since: float, until: float, without: str = "") -> str:
     """Machines with room report in both zones, every second; where claims of ours stand in the end."""
     now = since
     while now <= until:
         for host in ("a1", "a2", "a3", "a4", "b1", "b2", "b3", "b4"):
             if host != without:
-                known = harness.desk.machines.get(host)
+                known = harness.scheduler.machines.get(host)
                 claims = [one for one in known.claims.values() if one.recorded] if known else []
                 rungs = tuple(rung(one.index, one.attempt, uid=one.job.uid) for one in claims)
                 harness.report(host, rungs, now=now, yard="z" + host[0])
-        harness.desk.sweep(now)
-        harness.desk.schedule(now)
+        harness.scheduler.sweep(now)
+        harness.scheduler.schedule(now)
         now += 1.0
-    claims = [claim for one in harness.desk.jobs.values() for claim in one.claims.values()]
+    claims = [claim for one in harness.scheduler.jobs.values() for claim in one.claims.values()]
     return "".join(sorted(claim.zone[1] for claim in claims if claim.attempt >> 32 == EPOCH_NOW))
 
 
@@ -79,16 +79,16 @@
 @pytest.mark.parametrize("how", ["deleted", "silent", "new session"])
 @pytest.mark.parametrize("placement", ["oneZone", "spread", "yard"])
 def test_lost_tasks_are_replaced_where_the_others_allow_it(placement: str, how: str) -> None:
-    harness = DeskHarness()
+    harness = SchedulerHarness()
     where: dict[str, Any] = {placement: "zb" if placement == "yard" else True}
     harness.submit(owner="blue", rungs=3, cores=4.0, **where)
     zones = placed(harness, 1.0, 2.0)
     harness.record()
-    claims = harness.desk.jobs["req-000001"].claims
+    claims = harness.scheduler.jobs["req-000001"].claims
     lost = harness.machine(claims[0].host)
     placed(harness, 3.0, 3.0)
     if how == "deleted":
-        harness.desk.forget(lost.host, 3.5)
+        harness.scheduler.forget(lost.host, 3.5)
         assert len(placed(harness, 4.0, 5.0, lost.host)) == 3
     elif how == "silent":
         assert placed(harness, 4.0, 3.0 + LEASE - 0.5, lost.host) == zones and claims[0].host == lost.host
@@ -106,7 +106,7 @@
 def test_a_team_at_its_limit_stays_there_until_what_it_left_is_surely_gone(cancelled: bool, how: str) -> None:
     """Its machines can't be asked when the leader changes; cancelled or not, its tasks may still run."""
     harness = left(({"rungs": 2}, "ab"), ({"rungs": 2}, "ab"), cancelled=cancelled)
-    assert harness.desk.teams.cpus["red"] == 16.0
+    assert harness.scheduler.teams.cpus["red"] == 16.0
     harness.submit("req-000009", rungs=4, cores=4.0)
     assert placed(harness, 1.0, 25.0) == ""
     lost = [f"req-00000{number}-{index}" for number in (1, 2) for index in (0, 1)]
@@ -116,7 +116,7 @@
     now = 26.0 if how != "lease" else GRACE + LEASE
     for count, host in enumerate(lost, 1):
         if how == "deleted":
-            harness.desk.forget(host, now)
+            harness.scheduler.forget(host, now)
         elif how == "told":
             zone, (claim,) = harness.machine(host).zone, harness.machine(host).claims.values()
             harness.report(host, now=now, epoch=EPOCH_NOW - 1, yard=zone)
@@ -124,17 +124,17 @@
             harness.report(host, now=now, yard=zone)
         ours = placed(harness, now, now + 1.0)
         now += 2.0
-        assert harness.desk.teams.cpus["red"] <= 16.0
+        assert harness.scheduler.teams.cpus["red"] <= 16.0
         if cancelled and how == "deleted":
             assert len(ours) == count
     placed(harness, now, now)
-    assert harness.desk.teams.cpus["red"] == 16.0
-    assert not cancelled or len(harness.desk.jobs["req-000009"].claims) == 4
+    assert harness.scheduler.teams.cpus["red"] == 16.0
+    assert not cancelled or len(harness.scheduler.jobs["req-000009"].claims) == 4
 
 
 @pytest.mark.parametrize("out", ["running", "launch under way"])
 def test_what_is_cancelled_on_a_machine_that_hangs_counts_until_it_is_gone(out: str) -> None:
-    harness = DeskHarness()
+    harness = SchedulerHarness()
     if out == "running":
         attempt = launched(harness, 1, cores=4.0, oneZone=True)
         harness.report(rungs=(rung(0, attempt),), now=2.0)
@@ -142,11 +142,11 @@
         harness.submit(rungs=1, cores=4.0)
         harness.report()
         harness.record()
-        assert harness.desk.sessions.orders(harness.machine(), 2.0, None)
+        assert harness.scheduler.sessions.orders(harness.machine(), 2.0, None)
     harness.tell(phase="cancelled")
     harness.submit("req-000002", rungs=4, cores=4.0)
     placed(harness, 3.0, 12.0)
-    assert harness.desk.teams.cpus["red"] == 16.0 and len(harness.desk.jobs["req-000002"].claims) == 3
-    harness.desk.forget("m", 12.5)
+    assert harness.scheduler.teams.cpus["red"] == 16.0 and len(harness.scheduler.jobs["req-000002"].claims) == 3
+    harness.scheduler.forget("m", 12.5)
     placed(harness, 13.0, 14.0)
-    assert harness.desk.teams.cpus["red"] == 16.0 and len(harness.desk.jobs["req-000002"].claims) == 4
+    assert harness.scheduler.teams.cpus["red"] == 16.0 and len(harness.scheduler.jobs["req-000002"].claims) == 4
--- a/ladderfield/leader/test_size.py
+++ b/ladderfield/leader/test_size.py
@@ -14,7 +14,7 @@
 from ladderfield.server import USERS_SHARE
 from ladderfield.state import StateClient
 from ladderfield.testing import settings
-from ladderfield.testing.leader import DeskHarness
+from ladderfield.testing.leader import SchedulerHarness
 from ladderfield.view import View
 from ladderfield.workers.machine import Machine
 
@@ -22,15 +22,15 @@
 KEPT = 4  # connections that the clients of the state service and the cloud keep, each
 
 
-def crowd(monkeypatch: pytest.MonkeyPatch, jobs: int) -> tuple[DeskHarness, dict[str, int]]:
+def crowd(monkeypatch: pytest.MonkeyPatch, jobs: int) -> tuple[SchedulerHarness, dict[str, int]]:
     """All machines full, thousands of tasks queued; and what a pass looks at."""
-    harness = DeskHarness()
+    harness = SchedulerHarness()
     for number in range(jobs):
         harness.submit(f"req-{number:06}", owner="blue", rungs=100, bundle=f"img-{number % 10}", cores=2.0)
     for host in range(MACHINES):
         harness.report(f"m{host:03}")
-    while harness.desk.changed:
-        harness.desk.schedule(1.5)
+    while harness.scheduler.changed:
+        harness.scheduler.schedule(1.5)
     harness.record()
     looked = {"room": 0, "queues": 0}
     has_room, pick = Machine.has_room, Queues._pick
@@ -53,14 +53,14 @@
     free = [harness.machine(f"m{number:03}") for number in range(5)]
     for machine in free:
         for claim in list(machine.claims.values()):
-            harness.desk.end(claim, True, 2.0)
-    assert harness.desk.schedule(2.0) == 10
+            harness.scheduler.end(claim, True, 2.0)
+    assert harness.scheduler.schedule(2.0) == 10
     assert looked["queues"] < 100 and looked["room"] < 1000, looked
 
 
 def test_a_pass_with_nothing_free_looks_at_no_machine(monkeypatch: pytest.MonkeyPatch) -> None:
     harness, looked = crowd(monkeypatch, 40)
-    harness.desk.schedule(2.0)
+    harness.scheduler.schedule(2.0)
     assert looked == {"room": 0, "queues": 0}
 
 
@@ -88,7 +88,7 @@
 
 def test_large_jobs_begin_and_go_on_while_small_ones_keep_coming() -> None:
     """Least work first alone would let a large job wait for ever, and rank a low one: part of the room goes by age."""
-    harness = DeskHarness()
+    harness = SchedulerHarness()
     for host in range(10):
         harness.report(f"m{host}")
     harness.submit("req-000001", owner="blue", rungs=300, rank="best_effort", expectS=30.0)
@@ -100,13 +100,13 @@
         for host in range(10):
             harness.report(f"m{host}", now=now)
         harness.record()
-        harness.desk.schedule(now)
-        large = harness.desk.jobs["req-000001"]
+        harness.scheduler.schedule(now)
+        large = harness.scheduler.jobs["req-000001"]
         if large.claims and begun is None:
             begun = now
-        for machine in harness.desk.machines.values():
+        for machine in harness.scheduler.machines.values():
             for claim in list(machine.claims.values()):
-                harness.desk.end(claim, True, now)
+                harness.scheduler.end(claim, True, now)
     assert begun is not None and begun < 240
     assert large.done > 20, "and it goes on"
 
@@ -116,20 +116,20 @@
 
     Old jobs that ran in their turn held a quarter of the cpus.
     """
-    harness = DeskHarness()
+    harness = SchedulerHarness()
     for host in range(10):
         harness.report(f"m{host}")
     harness.submit("req-000001", owner="blue", rungs=18, expectS=500.0)
-    harness.desk.schedule(1.5)
+    harness.scheduler.schedule(1.5)
     harness.submit("req-000002", owner="blue", rungs=300, rank="best_effort")
     harness.submit("req-000003", owner="blue", rungs=300, rank="best_effort")
     for host in range(10):
         harness.report(f"m{host}", now=130.0)
     harness.submit("req-000004", owner="blue", rungs=30)
-    harness.desk.jobs["req-000004"].at = 129.0
-    harness.desk.schedule(130.0)
-    assert harness.desk.jobs["req-000002"].claims and harness.desk.jobs["req-000001"].claims
-    for claim in list(harness.desk.jobs["req-000002"].claims.values())[:1]:
-        harness.desk.end(claim, True, 131.0)
-    harness.desk.schedule(131.0)
-    assert harness.desk.jobs["req-000003"].claims, "what has not begun comes first"
+    harness.scheduler.jobs["req-000004"].at = 129.0
+    harness.scheduler.schedule(130.0)
+    assert harness.scheduler.jobs["req-000002"].claims and harness.scheduler.jobs["req-000001"].claims
+    for claim in list(harness.scheduler.jobs["req-000002"].claims.values())[:1]:
+        harness.scheduler.end(claim, True, 131.0)
+    harness.scheduler.schedule(131.0)
+    assert harness.scheduler.jobs["req-000003"].claims, "what has not begun comes first"
--- a/ladderfield/leader/test_stranded.py
+++ b/ladderfield/leader/test_stranded.py
@@ -8,18 +8,18 @@
 import trio
 
 from ladderfield.fleet.plan import Planner
-from ladderfield.leader.desk import Desk
+from ladderfield.leader.scheduler import Scheduler
 from ladderfield.testing.cluster import cluster
-from ladderfield.testing.leader import DeskHarness, launched, launched_by_push, rung
+from ladderfield.testing.leader import SchedulerHarness, launched, launched_by_push, rung
 
 WAIT = 90.0  # seconds that no job may wait once a machine that fits has room
 
 
-def begins(harness: DeskHarness, uid: str, hosts: str = "m", since: float = 2.0) -> bool:
+def begins(harness: SchedulerHarness, uid: str, hosts: str = "m", since: float = 2.0) -> bool:
     """Machines report without any task, twice in a report interval; whether the job is launched in time."""
     for step in range(int(WAIT)):
         now = since + step
-        harness.desk.sweep(now)
+        harness.scheduler.sweep(now)
         for host in hosts:
             orders = harness.report(host, now=now)
             harness.record(now)
@@ -30,7 +30,7 @@
 
 @pytest.mark.parametrize("others", ["", "abc"])
 def test_a_job_whose_task_failed_comes_back_to_the_only_machine_that_fits(others: str) -> None:
-    harness = DeskHarness()
+    harness = SchedulerHarness()
     for host in others:
         harness.report(host, yard="zb")
     attempt = launched(harness, 1, yard="za")
@@ -41,11 +41,11 @@
 
 @pytest.mark.parametrize("answer", [None, 409])
 def test_a_task_stopped_for_room_before_its_lost_launch_shows_starts_anew(answer: int | None) -> None:
-    harness = DeskHarness()
+    harness = SchedulerHarness()
     machine, order = launched_by_push(harness)
-    harness.desk.stop(machine.claims["req-000001", 0], "preempted", 2.0)
+    harness.scheduler.stop(machine.claims["req-000001", 0], "preempted", 2.0)
     if answer is not None:
-        harness.desk.sessions.answered(machine, [order["try"]], False)
+        harness.scheduler.sessions.answered(machine, [order["try"]], False)
     listed: dict[str, dict[str, Any]] = {}
     for step in range(int(WAIT)):
         for told in harness.report(rungs=tuple(listed.values()), now=2.0 + step):
@@ -57,7 +57,7 @@
             assert machine.doubts == {order["try"]: 1}, "the copy may still come"
         harness.report("other", now=2.0 + step)
         harness.record(2.0 + step)
-        if harness.desk.jobs["req-000001"].claims[0].attempt != order["try"]:
+        if harness.scheduler.jobs["req-000001"].claims[0].attempt != order["try"]:
             assert answer or listed["req-000001/0"]["try"] == order["try"], "which what is listed makes harmless"
             return
     raise AssertionError("stranded")
@@ -81,22 +81,22 @@
 
 @pytest.mark.parametrize("how", ["deleted", "silent", "sick", "recalled", "deaf"])
 def test_what_was_dealt_to_a_machine_that_is_lost_starts_on_another(how: str) -> None:
-    harness = DeskHarness()
+    harness = SchedulerHarness()
     harness.report()
     harness.submit(rungs=8, owner="blue")
-    harness.desk.schedule(1.0)
+    harness.scheduler.schedule(1.0)
     assert harness.machine().queue and len(harness.machine().claims) == 2
     lost = harness.machine()
     if how == "deleted":
-        harness.desk.forget("m", 2.0)
+        harness.scheduler.forget("m", 2.0)
     elif how == "deaf":
-        harness.desk.sessions.ignored(lost, 2, 2.0)
+        harness.scheduler.sessions.ignored(lost, 2, 2.0)
     elif how == "recalled":
         harness.report(now=2.0, recallS=30.0)
     elif how == "sick":
         lost.sick = True
     for now in (8.0, 8.5):
-        harness.desk.sweep(now)
+        harness.scheduler.sweep(now)
         for host in "abc":
             harness.report(host, now=now)
     elsewhere = {index for one in "abc" for (_, index) in harness.machine(one).claims}
@@ -104,12 +104,12 @@
 
 
 def test_room_cleared_for_a_replica_that_is_cancelled_goes_to_others() -> None:
-    harness = DeskHarness()
+    harness = SchedulerHarness()
     attempt = launched(harness, 2)
     both = (rung(0, attempt), rung(1, attempt + 1))
     harness.report(rungs=both, now=2.0)
     harness.submit("req-000002", rank="production", shape="daemon", cores=4.0, rungs=1)
-    harness.desk.schedule(2.0)
+    harness.scheduler.schedule(2.0)
     assert harness.machine().hold_until > 2.0
     harness.tell("req-000002", "cancelled")
     gone = (rung(0, attempt, "exited", "stopped"), rung(1, attempt + 1, "exited", "stopped"))
@@ -156,14 +156,14 @@
 
 async def test_small_jobs_that_come_fast_leave_nothing_behind(monkeypatch: pytest.MonkeyPatch) -> None:
     """Four a second, a quarter cancelled: what is to be written keeps up, and all of it is cleared once they end."""
-    desks: list[Desk] = []
-    load = Desk.load
+    desks: list[Scheduler] = []
+    load = Scheduler.load
 
-    def noted(desk: Desk, data: dict[str, Any], now: float) -> None:
-        desks.append(desk)
-        load(desk, data, now)
+    def noted(scheduler: Scheduler, data: dict[str, Any], now: float) -> None:
+        desks.append(scheduler)
+        load(scheduler, data, now)
 
-    monkeypatch.setattr(Desk, "load", noted)
+    monkeypatch.setattr(Scheduler, "load", noted)
     async with cluster(monkeypatch) as whole:
         whole.cloud.capacity, seconds, most = 60, 90, 0
 
@@ -177,41 +177,48 @@
             for number in range(4 * seconds):
                 users.start_soon(one, number)
                 await trio.sleep(0.25)
-                (desk,) = desks
-                most = max(most, len(desk.jobs) + len(desk.spent) + len(desk.pages.pages))
+                (scheduler,) = desks
+                most = max(most, len(scheduler.jobs) + len(scheduler.spent) + len(scheduler.pages.pages))
         assert most < 20 * 4, "twenty seconds' worth, of which a task takes five"
         await trio.sleep(20)
         assert not [key for key in whole.state.keys if key.startswith("lf/j/")]
-        assert not (desk.jobs or desk.cancelled_at or desk.spent or desk.complete or desk.unsettled or desk.unrecorded)
-        assert all(page.size < 100 for page in desk.pages.pages)
-        assert not any(machine.claims or machine.queue or machine.doubts for machine in desk.machines.values())
+        assert not (
+            scheduler.jobs
+            or scheduler.cancelled_at
+            or scheduler.spent
+            or scheduler.complete
+            or scheduler.unsettled
+            or scheduler.unrecorded
+        )
+        assert all(page.size < 100 for page in scheduler.pages.pages)
+        assert not any(machine.claims or machine.queue or machine.doubts for machine in scheduler.machines.values())
 
 
 def test_pages_keep_nothing_of_a_job_that_is_cancelled_half_done() -> None:
-    harness = DeskHarness()
+    harness = SchedulerHarness()
     attempt = launched(harness, 2)
-    empty = harness.desk.pages.pages[0].size
+    empty = harness.scheduler.pages.pages[0].size
     harness.report(rungs=(rung(0, attempt, "exited", "done"), rung(1, attempt + 1)), now=2.0)
     harness.record()
     harness.tell(phase="cancelled")
     harness.report(rungs=(rung(1, attempt + 1, "exited", "stopped"),), now=3.0)
     harness.record()
-    assert harness.desk.pages.pages[0].size < empty and not harness.desk.pages.pages[0].value()
-    assert not (harness.desk.jobs or harness.desk.cancelled_at or harness.desk.spent)
+    assert harness.scheduler.pages.pages[0].size < empty and not harness.scheduler.pages.pages[0].value()
+    assert not (harness.scheduler.jobs or harness.scheduler.cancelled_at or harness.scheduler.spent)
 
 
 def test_the_room_of_machines_that_can_not_report_is_rented_anew_unless_most_are_so() -> None:
     for reporting, rented in (("ab", 1), ("", 0)):
-        harness = DeskHarness()
+        harness = SchedulerHarness()
         harness.submit(owner="blue", rungs=3, cores=4.0, expectS=500.0)
         for host in ("m", *reporting):
             harness.report(host)
         (claim,) = harness.machine().claims.values()
-        harness.desk.end(claim, False, 2.0)
+        harness.scheduler.end(claim, False, 2.0)
         for host in reporting:
             harness.report(host, now=10.0)
         harness.machine().fresh_at = 10.0  # it answers what we send
-        harness.desk.sweep(10.0)
+        harness.scheduler.sweep(10.0)
         assert harness.machine().mute
-        waiting = harness.desk.jobs["req-000001"].waiting
-        assert sum(one.count for one in Planner(harness.desk).rentals(10.0)) == waiting - 1 + rented
+        waiting = harness.scheduler.jobs["req-000001"].waiting
+        assert sum(one.count for one in Planner(harness.scheduler).rentals(10.0)) == waiting - 1 + rented
--- a/ladderfield/leader/test_waiting.py
+++ b/ladderfield/leader/test_waiting.py
@@ -6,27 +6,27 @@
 
 from ladderfield.fleet.plan import Planner
 from ladderfield.testing import accepted, job
-from ladderfield.testing.leader import ABOUT, EPOCH_NOW, DeskHarness, rung
+from ladderfield.testing.leader import ABOUT, EPOCH_NOW, SchedulerHarness, rung
 
 A, B, C = "req-000001", "req-000002", "req-000003"
 
 
-def pipeline(**last: Any) -> DeskHarness:
+def pipeline(**last: Any) -> SchedulerHarness:
     """Three jobs of one task each, one after the other, and a machine."""
-    harness = DeskHarness()
+    harness = SchedulerHarness()
     harness.submit(A, rungs=1)
     harness.submit(B, rungs=1, waitsOn=[A])
     harness.submit(C, rungs=1, waitsOn=[B], **last)
     return harness
 
 
-def claimed(harness: DeskHarness) -> set[str]:
-    return {task[0] for machine in harness.desk.machines.values() for task in machine.claims}
+def claimed(harness: SchedulerHarness) -> set[str]:
+    return {task[0] for machine in harness.scheduler.machines.values() for task in machine.claims}
 
 
-def finish(harness: DeskHarness, uid: str, now: float) -> None:
+def finish(harness: SchedulerHarness, uid: str, now: float) -> None:
     """The job's only task runs and ends."""
-    claim = harness.desk.jobs[uid].claims[0]
+    claim = harness.scheduler.jobs[uid].claims[0]
     harness.record(now)
     harness.report(now=now)
     harness.report(rungs=(rung(0, claim.attempt, uid=uid),), now=now)
@@ -38,14 +38,14 @@
     harness.report()
     assert claimed(harness) == {A}
     finish(harness, A, 2.0)
-    harness.desk.schedule(2.0)
+    harness.scheduler.schedule(2.0)
     assert claimed(harness) == set(), "A has finished, but that is not on record"
     harness.record(3.0)
-    harness.desk.schedule(3.0)
-    assert claimed(harness) == {B} and harness.desk.jobs[B].since == 3.0
+    harness.scheduler.schedule(3.0)
+    assert claimed(harness) == {B} and harness.scheduler.jobs[B].since == 3.0
     finish(harness, B, 4.0)
     harness.record(4.0)
-    harness.desk.schedule(4.0)
+    harness.scheduler.schedule(4.0)
     assert claimed(harness) == {C}
 
 
@@ -55,11 +55,11 @@
         f"lf/j/{B}": (accepted(job(B, rungs=1, waitsOn=[A])), 5),
         "lf/p/0": ({A: {"d": [[0, 0]]}}, 6),
     }
-    harness = DeskHarness(data)
+    harness = SchedulerHarness(data)
     harness.report()
     assert claimed(harness) == set()
     harness.record(2.0)
-    harness.desk.schedule(2.0)
+    harness.scheduler.schedule(2.0)
     assert claimed(harness) == {B}
 
 
@@ -72,12 +72,12 @@
         txn = harness.ledger.collect(True)
         assert txn is not None and [job.uid for job in txn.finals] == [A]
         harness.ledger.restamp(txn, {f"lf/f/{A}": 17})
-        harness.desk.schedule(2.0)
-        assert claimed(harness) == set() and not harness.desk.orphaned
+        harness.scheduler.schedule(2.0)
+        assert claimed(harness) == set() and not harness.scheduler.orphaned
         harness.tell(A, phase)
-        harness.desk.schedule(2.0)
+        harness.scheduler.schedule(2.0)
         assert claimed(harness) == ({B} if phase == "done" else set())
-        assert {job.uid for job in harness.desk.orphaned} == ({B, C} if phase == "cancelled" else set())
+        assert {job.uid for job in harness.scheduler.orphaned} == ({B, C} if phase == "cancelled" else set())
 
 
 def test_what_waits_for_a_cancelled_job_gets_its_final_record_and_is_cleared_away() -> None:
@@ -88,13 +88,13 @@
     harness.record(2.0)
     assert {B, C, "req-000004"}.isdisjoint(claimed(harness))
     for uid in (B, C, "req-000004"):
-        assert harness.desk.jobs[uid].final == "cancelled"
+        assert harness.scheduler.jobs[uid].final == "cancelled"
         harness.tell(uid, "cancelled")
-    assert set(harness.desk.jobs) <= {A}
+    assert set(harness.scheduler.jobs) <= {A}
 
 
 def test_many_cancelled_with_one_are_written_in_bounded_transactions() -> None:
-    harness = DeskHarness()
+    harness = SchedulerHarness()
     harness.submit(A)
     for number in range(100, 150):
         harness.submit(f"req-{number:06}", waitsOn=[A])
@@ -113,9 +113,9 @@
     harness.submit("req-000009", waitsOn=[A], rungs=500, owner="blue")
     harness.report()
     harness.record()
-    planner = Planner(harness.desk)
-    assert planner.rentals(2.0) == [] and harness.desk.teams.cpus["blue"] == 0.0
-    assert all(not one.queued and not one.undealt for uid, one in harness.desk.jobs.items() if uid != A)
+    planner = Planner(harness.scheduler)
+    assert planner.rentals(2.0) == [] and harness.scheduler.teams.cpus["blue"] == 0.0
+    assert all(not one.queued and not one.undealt for uid, one in harness.scheduler.jobs.items() if uid != A)
 
 
 def test_a_successor_knows_since_when_a_job_is_ready_and_for_whom_it_is_urgent() -> None:
@@ -124,12 +124,12 @@
         f"lf/j/{C}": (accepted(job(C, waitsOn=[B], rank="urgent", dueS=200.0), at=900.0), 5),
         f"lf/f/{A}": ({"phase": "done", "at": 990.0}, 6),
     }
-    one = DeskHarness(data).desk.jobs[B]
+    one = SchedulerHarness(data).scheduler.jobs[B]
     assert (one.since, one.at, one.order, one.due) == (-10.0, -100.0, (1,), (1095.0, 200.0))
 
 
 def test_a_claim_of_an_urgent_chain_goes_first() -> None:
-    harness = DeskHarness()
+    harness = SchedulerHarness()
     harness.submit("req-000000", rank="standard", owner="blue", rungs=2)
     harness.submit(A, rank="best_effort", owner="blue", rungs=1)
     harness.submit(B, rank="urgent", owner="blue", waitsOn=[A], dueS=60.0)
@@ -143,11 +143,11 @@
         f"lf/j/{B}": (accepted(job(B, rungs=1, waitsOn=[A])), 5),
         "lf/p/0": ({"hosts": {"m": ABOUT}, A: {"a": {"0": [(EPOCH_NOW - 1) << 32, "m"]}}}, 6),
     }
-    harness = DeskHarness(data)
+    harness = SchedulerHarness(data)
     harness.report(rungs=(rung(0, (EPOCH_NOW - 1) << 32, uid=A),))
-    assert claimed(harness) == {A} and B in harness.desk.jobs
+    assert claimed(harness) == {A} and B in harness.scheduler.jobs
     harness.report(rungs=(rung(0, (EPOCH_NOW - 1) << 32, "exited", "done", uid=A),), now=2.0)
     assert claimed(harness) == set()
     harness.record(3.0)
-    harness.desk.schedule(3.0)
+    harness.scheduler.schedule(3.0)
     assert claimed(harness) == {B}
--- a/ladderfield/leader/waiting.py
+++ b/ladderfield/leader/waiting.py
@@ -13,7 +13,7 @@
 from ladderfield.queues.work import Job
 
 if TYPE_CHECKING:
-    from ladderfield.leader.desk import Desk
+    from ladderfield.leader.scheduler import Scheduler
 
 log = logging.getLogger(__name__)
 
@@ -21,40 +21,40 @@
 class Waiting:
     """Ties accepted jobs to each other, and lets them go."""
 
-    def __init__(self, desk: Desk, chains: DependencyGraph) -> None:
-        self.desk, self.chains = desk, chains
+    def __init__(self, scheduler: Scheduler, dependencies: DependencyGraph) -> None:
+        self.scheduler, self.dependencies = scheduler, dependencies
 
     def tie(self, job: Job) -> None:
         """What an accepted job waits for, and how urgent that makes the jobs before it."""
         needs = job.spec.needs or ()
-        job.waits = self.chains.unmet(needs)
+        job.waits = self.dependencies.unmet(needs)
         if needs:
-            job.since = max(job.at, self.chains.ready_at(needs) - self.desk.wall_offset)
-        if self.chains.cancelled(job.uid):
-            self.desk.orphaned[job] = None
+            job.since = max(job.at, self.dependencies.ready_at(needs) - self.scheduler.wall_offset)
+        if self.dependencies.cancelled(job.uid):
+            self.scheduler.orphaned[job] = None
         self._hurry(job.uid)
 
     def ended(self, uid: str, phase: str, now: float) -> None:
         """A job's end is on record: jobs that wait for it are ready if it was the last, or cancelled with it."""
         if phase == CANCELLED:
-            for later in self.chains.all_after(uid):
-                job = self.desk.jobs.get(later)
+            for later in self.dependencies.all_after(uid):
+                job = self.scheduler.jobs.get(later)
                 if job is not None and job.final is None:
-                    self.desk.orphaned[job] = None
+                    self.scheduler.orphaned[job] = None
             self._hurry(uid)
             return
-        for later in self.chains.after(uid):
-            job = self.desk.jobs.get(later)
+        for later in self.dependencies.after(uid):
+            job = self.scheduler.jobs.get(later)
             if job is not None and job.final is None and uid in job.waits:
                 job.waits.discard(uid)
                 if not job.waits:
                     log.info("job %s: ready, all that it waits for is done", job.uid)
-                    job.since, self.desk.changed = now, True
+                    job.since, self.scheduler.changed = now, True
 
     def _hurry(self, uid: str) -> None:
         """Jobs are as urgent as what waits for them."""
-        for one in (uid, *self.chains.all_before(uid)):
-            job = self.desk.jobs.get(one)
-            if job is not None and one in self.chains:
-                rank, job.due = self.chains.urgency(one)
+        for one in (uid, *self.dependencies.all_before(uid)):
+            job = self.scheduler.jobs.get(one)
+            if job is not None and one in self.dependencies:
+                rank, job.due = self.dependencies.urgency(one)
                 job.order = (rank,)
--- a/ladderfield/server.py
+++ b/ladderfield/server.py
@@ -52,12 +52,12 @@
         self.leadership = Leadership(settings, self.client, self.view)
         at_once = max(4, back_most(settings.cluster.quota.max_connections) // max(1, len(settings.peers)))
         self.links = {peer.member: PeerLink(peer, at_once) for peer in settings.peers}
-        self.chains = DependencyGraph(self.view.get)
+        self.dependencies = DependencyGraph(self.view.get)
         self.cancellations = Cancellations()
-        self.view.followers += [self.chains.take, self.cancellations.take]
+        self.view.followers += [self.dependencies.take, self.cancellations.take]
         self.rollout = Rollout(settings, self.client, self.view)
         self.jobs_api = JobsApi(
-            settings, self.client, self.view, self.chains, self.rollout, self.cancellations, self.links
+            settings, self.client, self.view, self.dependencies, self.rollout, self.cancellations, self.links
         )
         self.reports = ReportHandler(settings, self.leadership, self.links)
         self.cancellation_sync = CancellationSync(self.leadership, self.view, self.cancellations, self.links)
@@ -117,7 +117,9 @@
         """Be leader whenever this controller is elected."""
         async for term in terms:
             try:
-                await Leader(self.settings, term, self.client, self.view, self.cloud, self.chains).run(self._announce)
+                await Leader(self.settings, term, self.client, self.view, self.cloud, self.dependencies).run(
+                    self._announce
+                )
             except Exception:
                 log.exception("epoch %d: the leader failed", term.epoch)
                 self._announce(None)
--- a/ladderfield/test_controller_failures.py
+++ b/ladderfield/test_controller_failures.py
@@ -92,7 +92,7 @@
         first = whole.controllers[whole.leader()].leadership.term
         assert first is not None
         with monkeypatch.context() as broken:
-            broken.setattr("ladderfield.leader.desk.Desk.schedule", lambda self, now: 1 // 0)
+            broken.setattr("ladderfield.leader.scheduler.Scheduler.schedule", lambda self, now: 1 // 0)
             await whole.submit(uid="req-000002")
             await trio.sleep(1)
         assert first.over.is_set() and len(whole.controllers) == 3
--- a/ladderfield/test_leadership.py
+++ b/ladderfield/test_leadership.py
@@ -57,16 +57,16 @@
         DependencyGraph(lambda key: None),
     )
     leader.dispatcher.dispatch = lambda now: None  # type: ignore[method-assign]
-    leader.desk.load({"lf/types": (TYPES, 1), EPOCH: ({"epoch": 7}, 3)}, 0.0)
-    leader.desk.take_changes([Change("lf/j/req-000001", accepted(job(rungs=1)), 5)], 0.0)
+    leader.scheduler.load({"lf/types": (TYPES, 1), EPOCH: ({"epoch": 7}, 3)}, 0.0)
+    leader.scheduler.take_changes([Change("lf/j/req-000001", accepted(job(rungs=1)), 5)], 0.0)
     bound = leader.term.known_at + leader.term.grace
     for now, answered, started in ((bound - 0.1, True, 0), (bound + 0.1, False, 0), (1.0, True, 1)):
         message = ReportReceived(_report(int(1000 - now)), False)
-        leader.desk.sessions.report(_report(int(2000 - now)), now, answering=False)
+        leader.scheduler.sessions.report(_report(int(2000 - now)), now, answering=False)
         leader._on_report(message, now)
         assert message.answer.is_set() and (message.answer.value is not None) is answered
         leader._advance(now)
-        assert len(leader.desk.machines["m"].claims) == started
+        assert len(leader.scheduler.machines["m"].claims) == started
 
 
 async def test_the_epochs_record_fits_the_smaller_limit_whatever_controllers_are_called() -> None:
--- a/ladderfield/test_versions.py
+++ b/ladderfield/test_versions.py
@@ -21,7 +21,7 @@
 from ladderfield.state import StateClient
 from ladderfield.testing import job, settings
 from ladderfield.testing.jobs_api import serving_jobs_api
-from ladderfield.testing.leader import EPOCH_NOW, DeskHarness, rung
+from ladderfield.testing.leader import EPOCH_NOW, SchedulerHarness, rung
 from ladderfield.view import View
 
 # As the version in production writes it, byte for byte.
@@ -54,12 +54,12 @@
 
 
 def test_a_new_leader_takes_over_claims_replicas_and_ends_of_an_old_one() -> None:
-    harness = DeskHarness(old_data())
-    array, service = harness.desk.jobs["req-000412"], harness.desk.jobs["req-000413"]
+    harness = SchedulerHarness(old_data())
+    array, service = harness.scheduler.jobs["req-000412"], harness.scheduler.jobs["req-000413"]
     assert array.finished == {0, 1, 4} and {claim.attempt & 0xFF for claim in array.claims.values()} == {2, 3}
     assert array.spec.needs is None and array.spec.deadline_s == 90.0 and not array.waits
     assert [claim.host for claim in service.claims.values()] == ["i-000003"]
-    assert harness.desk.teams.cpus == {"red": 4.0, "blue": 4.0}
+    assert harness.scheduler.teams.cpus == {"red": 4.0, "blue": 4.0}
     # A reap under way: the old leader has recorded task 4 and not yet reaped it.
     orders = harness.report(
         "i-000001", (rung(4, 25769803775, "exited", "done", "req-000412"), rung(2, 25769803778, uid="req-000412")),
@@ -70,10 +70,10 @@
 
 @pytest.mark.parametrize("record", [DONE_RECORD, CANCELLED_RECORD])
 def test_ends_that_an_old_version_wrote_count(record: bytes) -> None:
-    harness = DeskHarness(old_data(lf_f_req000001=record) | {"lf/f/req-000412": (msgspec.json.decode(record), 6)})
+    harness = SchedulerHarness(old_data(lf_f_req000001=record) | {"lf/f/req-000412": (msgspec.json.decode(record), 6)})
     harness.submit("req-000414", waitsOn=["req-000412"])
-    assert bool(harness.desk.jobs["req-000414"].waits) == (record is CANCELLED_RECORD)
-    assert bool(harness.desk.orphaned) == (record is CANCELLED_RECORD)
+    assert bool(harness.scheduler.jobs["req-000414"].waits) == (record is CANCELLED_RECORD)
+    assert bool(harness.scheduler.orphaned) == (record is CANCELLED_RECORD)
 
 
 async def test_an_old_epoch_and_an_old_answer_over_back_are_understood(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -184,8 +184,8 @@
 
 
 def test_an_old_leader_takes_over_what_a_new_one_leaves() -> None:
-    harness = DeskHarness()
-    harness.desk.pages.most = 1900
+    harness = SchedulerHarness()
+    harness.scheduler.pages.most = 1900
     harness.submit("req-000001", rungs=40, owner="blue")
     harness.submit("req-000002", rungs=1, shape="daemon", rank="production", owner="blue", cores=4.0)
     harness.submit("req-000003", rungs=1, owner="blue")
@@ -198,9 +198,9 @@
             written |= txn.puts
             harness.stamp += 1
             harness.ledger.applied(txn, harness.stamp, 2.0)
-        for claim in [claim for one in harness.desk.jobs.values() for claim in one.claims.values()]:
+        for claim in [claim for one in harness.scheduler.jobs.values() for claim in one.claims.values()]:
             if not claim.job.spec.service and claim.index % 3 != step:
-                harness.desk.end(claim, True, 3.0)
+                harness.scheduler.end(claim, True, 3.0)
         if step == 1:
             harness.tell("req-000003", "cancelled")
     for key, value in written.items():
@@ -256,5 +256,8 @@
     data = old_data()
     page = msgspec.json.decode(PAGE_RECORD)
     page["req-000412"]["a"] = {"3": [(EPOCH_NOW - 2) << 32, "i-000001"]}
-    harness = DeskHarness(data | {"lf/p/1": (page, 6)})
-    assert {claim.attempt for claim in harness.desk.jobs["req-000412"].claims.values()} == {25769803778, 25769803779}
+    harness = SchedulerHarness(data | {"lf/p/1": (page, 6)})
+    assert {claim.attempt for claim in harness.scheduler.jobs["req-000412"].claims.values()} == {
+        25769803778,
+        25769803779,
+    }
--- a/ladderfield/test_wire_format.py
+++ b/ladderfield/test_wire_format.py
@@ -30,7 +30,7 @@
 from ladderfield.state import StateClient
 from ladderfield.testing import REPORT, TYPES, StateService, job, settings
 from ladderfield.testing.jobs_api import serving_jobs_api
-from ladderfield.testing.leader import DeskHarness, claimed_leader, launched, rung
+from ladderfield.testing.leader import SchedulerHarness, claimed_leader, launched, rung
 from ladderfield.view import View
 from ladderfield.workers.report_handler import ReportHandler
 
@@ -158,7 +158,7 @@
 
 
 def test_records_of_the_leader() -> None:
-    harness = DeskHarness()
+    harness = SchedulerHarness()
     attempt = launched(harness, 2)
     harness.report(rungs=(rung(0, attempt, "exited", "done"), rung(1, attempt + 1)), now=3.0)
     samples: Samples = {}
--- a/ladderfield/testing/jobs_api.py
+++ b/ladderfield/testing/jobs_api.py
@@ -26,9 +26,9 @@
     view = View(client, settings())
     nursery.start_soon(view.run)
     nursery.start_soon(view.run_reads)
-    chains, rollout = DependencyGraph(view.get), Rollout(settings(), client, view)
-    view.followers.append(chains.take)
-    api = JobsApi(settings(), client, view, chains, rollout, Cancellations())
+    dependencies, rollout = DependencyGraph(view.get), Rollout(settings(), client, view)
+    view.followers.append(dependencies.take)
+    api = JobsApi(settings(), client, view, dependencies, rollout, Cancellations())
     nursery.start_soon(api.submissions.acceptor.run)
     await trio.sleep(0.1)
     return api, service
--- a/ladderfield/testing/leader.py
+++ b/ladderfield/testing/leader.py
@@ -10,8 +10,8 @@
 from ladderfield.jobs.dependencies import DependencyGraph
 from ladderfield.jobs.model import TYPES as TYPES_KEY
 from ladderfield.leader.actor import Leader
-from ladderfield.leader.desk import Desk
 from ladderfield.leader.ledger import Ledger
+from ladderfield.leader.scheduler import Scheduler
 from ladderfield.leadership import EPOCH, Term
 from ladderfield.state import StateClient
 from ladderfield.testing.samples import TYPES, accepted, job, settings
@@ -24,19 +24,19 @@
 ABOUT = ["za", "10.9.0.1:90", "m4", False]  # what a page says of a machine
 
 
-class DeskHarness:
-    """A desk, its ledger, and machines that report by hand."""
+class SchedulerHarness:
+    """A scheduler, its ledger, and machines that report by hand."""
 
     def __init__(self, data: dict[str, Any] | None = None) -> None:
         self.pushed: list[str] = []
         self.on_record: dict[str, Any] = {TYPES_KEY: (TYPES, 1)} | (data or {})
-        self.chains = DependencyGraph(lambda key: self.on_record.get(key, (None, 0))[0])
-        self.desk = Desk(settings(), EPOCH_NOW, 0.0, 1000.0, 36.0, self.chains)
-        self.desk.push = lambda machine: self.pushed.append(machine.host)
+        self.dependencies = DependencyGraph(lambda key: self.on_record.get(key, (None, 0))[0])
+        self.scheduler = Scheduler(settings(), EPOCH_NOW, 0.0, 1000.0, 36.0, self.dependencies)
+        self.scheduler.push = lambda machine: self.pushed.append(machine.host)
         for key, (value, stamp) in self.on_record.items():
-            self.chains.take(Change(key, value, stamp))
-        self.desk.load(self.on_record, 0.0)
-        self.ledger = Ledger(self.desk, 3, 16)
+            self.dependencies.take(Change(key, value, stamp))
+        self.scheduler.load(self.on_record, 0.0)
+        self.ledger = Ledger(self.scheduler, 3, 16)
         self.stamp = 10
         self.ticks: dict[str, int] = {}
 
@@ -47,8 +47,8 @@
     def appear(self, key: str, value: Any, stamp: int, now: float = 0.0) -> None:
         """A key changes in the state service."""
         self.on_record[key] = (value, stamp)
-        self.chains.take(Change(key, value, stamp))
-        self.desk.take_changes([Change(key, value, stamp)], now)
+        self.dependencies.take(Change(key, value, stamp))
+        self.scheduler.take_changes([Change(key, value, stamp)], now)
 
     def tell(self, uid: str = "req-000001", phase: str = "done") -> None:
         """The job's final state appears in the state service."""
@@ -69,10 +69,10 @@
             "host": host, "endpoint": "10.9.0.1:90", "flavour": "m4", "yard": "za", "loaners": False,
             "tenure": tenure, "tick": self.ticks[host], "epoch": epoch, "rungs": list(rungs),
         } | about  # fmt: skip
-        machine = self.desk.sessions.report(msgspec.convert(raw, Report), now, answering=True)
+        machine = self.scheduler.sessions.report(msgspec.convert(raw, Report), now, answering=True)
         assert machine is not None
-        self.desk.schedule(now)
-        return wire_orders(self.desk.sessions.orders(machine, now, self.ticks[host]))
+        self.scheduler.schedule(now)
+        return wire_orders(self.scheduler.sessions.orders(machine, now, self.ticks[host]))
 
     def record(self, now: float = 1.0) -> None:
         """Everything due is written and answered."""
@@ -81,8 +81,8 @@
             self.ledger.applied(txn, self.stamp, now)
 
     def machine(self, host: str = "m") -> Machine:
-        """The machine's entry in the desk's tables."""
-        return self.desk.machines[host]
+        """The machine's entry in the scheduler's tables."""
+        return self.scheduler.machines[host]
 
 
 def wire_orders(orders: list[Order]) -> list[dict[str, Any]]:
@@ -97,7 +97,7 @@
     return {"rung": f"{uid}/{index}", "try": attempt, "phase": phase, "cause": cause}
 
 
-def launched(harness: DeskHarness, tasks: int = 1, **changes: Any) -> int:
+def launched(harness: SchedulerHarness, tasks: int = 1, **changes: Any) -> int:
     """A job whose first task was launched on machine m; its attempt."""
     harness.submit(rungs=tasks, **changes)
     harness.report()
@@ -107,13 +107,13 @@
     return int(orders[0]["try"])
 
 
-def launched_by_push(harness: DeskHarness) -> tuple[Machine, dict[str, Any]]:
+def launched_by_push(harness: SchedulerHarness) -> tuple[Machine, dict[str, Any]]:
     """A job whose one task was launched on machine m over /orders, without an answer yet; the machine and the order."""
     harness.submit(rungs=1)
     harness.report()
     harness.record()
     machine = harness.machine()
-    (order,) = wire_orders(harness.desk.sessions.orders(machine, 1.0, None))
+    (order,) = wire_orders(harness.scheduler.sessions.orders(machine, 1.0, None))
     return machine, order
 
 
@@ -132,10 +132,10 @@
     leader = Leader(
         settings(), term, client, View(client, settings()), Cloud(settings()), DependencyGraph(lambda key: None)
     )
-    leader.desk.load({"lf/types": (TYPES, 1), EPOCH: ({"epoch": 7}, 3)}, 0.0)
-    leader.desk.take_changes([Change("lf/j/req-000001", accepted(job(rungs=1)), 5)], 0.0)
-    leader.desk.sessions.report(session_report(1, 1), 0.1, answering=True)
-    leader.desk.schedule(0.1)
+    leader.scheduler.load({"lf/types": (TYPES, 1), EPOCH: ({"epoch": 7}, 3)}, 0.0)
+    leader.scheduler.take_changes([Change("lf/j/req-000001", accepted(job(rungs=1)), 5)], 0.0)
+    leader.scheduler.sessions.report(session_report(1, 1), 0.1, answering=True)
+    leader.scheduler.schedule(0.1)
     txn = leader.ledger.collect(True)
     assert txn is not None
     leader.ledger.applied(txn, 9, 0.1)
--- a/ladderfield/workers/test_old_messages.py
+++ b/ladderfield/workers/test_old_messages.py
@@ -11,7 +11,7 @@
 from ladderfield.testing import StateService, Worker, accepted, job
 from ladderfield.testing.cluster import Cluster, cluster
 from ladderfield.testing.consistency import ConsistencyChecker
-from ladderfield.testing.leader import ABOUT, EPOCH_NOW, DeskHarness, rung
+from ladderfield.testing.leader import ABOUT, EPOCH_NOW, SchedulerHarness, rung
 
 REPORT_S = 2.0
 WRITERS = {
@@ -171,10 +171,10 @@
     """The first thing that a new leader hears; the claim that it found on record is that of a later attempt."""
     earlier, later = 5 << 32, (6 << 32) + 3
     page = {"req-000001": {"a": {"0": [later, "m"]}}, "hosts": {"m": ABOUT}}
-    harness = DeskHarness({"lf/j/req-000001": (accepted(job(rungs=1)), 4), "lf/p/0": (page, 5)})
+    harness = SchedulerHarness({"lf/j/req-000001": (accepted(job(rungs=1)), 4), "lf/p/0": (page, 5)})
     orders = harness.report(rungs=(rung(0, earlier, "exited", cause),), epoch=EPOCH_NOW - 1)
     assert [claim.attempt for claim in harness.machine().claims.values()] == [later]
-    assert not harness.desk.complete and all(order["verb"] != "launch" for order in orders)
+    assert not harness.scheduler.complete and all(order["verb"] != "launch" for order in orders)
     harness.report(rungs=(rung(0, later),))
     assert [claim.phase for claim in harness.machine().claims.values()] == ["running"]
 
--- a/ladderfield/workers/test_workers.py
+++ b/ladderfield/workers/test_workers.py
@@ -25,7 +25,7 @@
     view = View(client, own)
     view.data = {LEADER: ({"member": "n0"}, 1), EPOCH: ({"epoch": 4}, 1)}
     link = PeerLink(Peer("n0", "10.0.0.1:81"))
-    desk = ReportHandler(own, Leadership(own, client, view), {"n0": link})
+    scheduler = ReportHandler(own, Leadership(own, client, view), {"n0": link})
     up, ticks = True, iter(range(100))
 
     async def ask(kind: int, body: bytes, timeout: float, status: int = 0) -> PeerAnswer | None:
@@ -36,7 +36,7 @@
     async def after(pause: float, host: str, epoch: int) -> str:
         await trio.sleep(pause)
         body = msgspec.json.encode(REPORT | {"host": host, "epoch": epoch, "tick": next(ticks)})
-        reply = await desk(Request("POST", "/v1/report", body))
+        reply = await scheduler(Request("POST", "/v1/report", body))
         assert reply is not None
         return "relayed" if reply.status == 200 else "sent" if b"n0" in reply.body else "next"
 
@@ -72,7 +72,7 @@
     view = View(client, own)
     view.data = {LEADER: ({"member": "n0"}, 1), EPOCH: ({"epoch": 4}, 1)}
     link = PeerLink(Peer("n0", "10.0.0.1:81"))
-    desk = ReportHandler(own, Leadership(own, client, view), {"n0": link})
+    scheduler = ReportHandler(own, Leadership(own, client, view), {"n0": link})
 
     async def relayed(kind: int, body: bytes, timeout: float, status: int = 0) -> PeerAnswer | None:
         return PeerAnswer(200, b"{}")
@@ -80,7 +80,7 @@
     link.ask = relayed  # type: ignore[method-assign]
     body = msgspec.json.encode(REPORT | {"host": "i-1", "tick": 9})
     for _ in range(3):
-        reply = await desk(Request("POST", "/v1/report", body))
+        reply = await scheduler(Request("POST", "/v1/report", body))
         assert reply is not None and reply.status == 421, "a copy of what was sent to the leader"
-    newer = await desk(Request("POST", "/v1/report", msgspec.json.encode(REPORT | {"host": "i-1", "tick": 10})))
+    newer = await scheduler(Request("POST", "/v1/report", msgspec.json.encode(REPORT | {"host": "i-1", "tick": 10})))
     assert newer is not None and newer.status == 200, "came back itself: relayed"
