--- a/ladderfield/fleet/plan.py
+++ b/ladderfield/fleet/plan.py
@@ -136,7 +136,7 @@
             for zone in kind.zones:
                 if spec.zone not in (None, zone) or places.left(zone) <= 0:
                     continue
-                if not self.scheduler.zones.rents_in(zone, spec, now):
+                if not self.scheduler.zones.may_rent_in(zone, spec, now):
                     continue
                 for spot in kinds:
                     offer = Offer(kind.name, zone, spot)
--- a/ladderfield/leader/actor.py
+++ b/ladderfield/leader/actor.py
@@ -279,11 +279,11 @@
         self.scheduler.earlier.none_left(self.term.epoch, now)
 
     def _on_controllers_checked(self, message: ControllersChecked, now: float) -> None:
-        self.scheduler.zones.controllers_checked(message.reachable)
+        self.scheduler.zones.on_controllers_checked(message.reachable)
 
     def _on_tick(self, message: Tick, now: float) -> None:
         if not self._may_claim(now):
-            self.scheduler.zones.delay(now)
+            self.scheduler.zones.extend_holds(now)
         doomed = self.scheduler.sweep(now)
         self.dispatcher.request_due(now)
         self.fleet.manage(doomed, now)
@@ -293,7 +293,7 @@
         """Say which machines come straight here, and resign if that is due."""
         if self.reachability is None:
             return
-        counts = {zone: (one.machines, one.straight) for zone, one in self.scheduler.detector.zones.items()}
+        counts = {zone: (one.machines, one.reporting_directly) for zone, one in self.scheduler.detector.zones.items()}
         self.reachability.workers.counted(counts)
         came_back = 0 if self.resignation is None else self.resignation.succession.came_back(now)
         self.reachability.look(now, TICK * self.report_s, came_back)
--- a/ladderfield/leader/failure_detector.py
+++ b/ladderfield/leader/failure_detector.py
@@ -66,10 +66,10 @@
         detour = machine.relayed and now - machine.detour_at < DETOURS * tables.lease_s
         zone.impaired += silent or detour or machine.not_hearing_since is not None
         if silent:
-            zone.unheard += 1
-            zone.lapsed += now > self.lease_over_at(machine)
-        straight = not machine.relayed and machine.reported_at is not None
-        zone.straight += straight and now - (machine.reported_at or 0.0) <= WINDOW * tables.report_s
+            zone.silent += 1
+            zone.lease_expired += now > self.lease_over_at(machine)
+        reporting_directly = not machine.relayed and machine.reported_at is not None
+        zone.reporting_directly += reporting_directly and now - (machine.reported_at or 0.0) <= WINDOW * tables.report_s
 
     def lease_over_at(self, machine: Machine) -> float:
         """When the machine's lease is surely over."""
--- a/ladderfield/leader/ledger.py
+++ b/ladderfield/leader/ledger.py
@@ -115,7 +115,7 @@
         record = self.scheduler.zones.record
         if record is None or not record.dirty or txn.left < 1 or txn.size + record.size() > BYTES:
             return
-        txn.guards[record.key] = record.stamp
+        txn.guards[record.key] = record.revision
         txn.puts[record.key] = record.value()
         txn.size += record.size()
         txn.zones = record
@@ -218,7 +218,7 @@
         for record in txn.ended:
             scheduler.clearable_records.pop(record, None)
         if txn.zones is not None:
-            txn.zones.stamp = ledger
+            txn.zones.revision = ledger
 
     def restamp(self, txn: Transaction, stamps: dict[str, int]) -> None:
         """Take the versions on record and write again, with what is known now.
@@ -239,7 +239,7 @@
             if record.stamp == 0:
                 self.scheduler.clearable_records.pop(record, None)
         if txn.zones is not None:
-            txn.zones.stamp = stamps.get(txn.zones.key, txn.zones.stamp)
+            txn.zones.revision = stamps.get(txn.zones.key, txn.zones.revision)
             txn.zones.dirty = True
 
     def refused(self, txn: Transaction) -> None:
--- a/ladderfield/leader/records.py
+++ b/ladderfield/leader/records.py
@@ -17,7 +17,7 @@
 from ladderfield.settings import Settings
 from ladderfield.view import Change
 from ladderfield.workers.machine import UNKNOWN, Machine
-from ladderfield.zones.record import ZONES
+from ladderfield.zones.record import ZONES_KEY
 
 log = logging.getLogger(__name__)
 
@@ -58,7 +58,7 @@
         for job in list(self.jobs.values()):
             job.final_seen = job.final is not None
             self.see_end(job)
-        zones, zones_stamp = data.get(ZONES) or (None, 0)
+        zones, zones_stamp = data.get(ZONES_KEY) or (None, 0)
         self.zones.load(zones, zones_stamp, now)
 
     def _load_page(self, page: Page, value: dict[str, Any], claims: dict[TaskId, Claim]) -> None:
--- a/ladderfield/leader/scheduler.py
+++ b/ladderfield/leader/scheduler.py
@@ -61,7 +61,7 @@
         self.queues.withdraw(machine)
         silent = machine.silent_for(now, self.term_from) > SILENT * self.report_s
         # One that had nothing to do was no loss: silent machines are returned first where there is ample room.
-        self.zones.forgotten(machine, silent and bool(machine.claims), now)
+        self.zones.on_machine_removed(machine, silent and bool(machine.claims), now)
         for claim in list(machine.claims.values()):
             self.end(claim, False, now)
         del self.machines[host]
--- a/ladderfield/leader/scheduling_pass.py
+++ b/ladderfield/leader/scheduling_pass.py
@@ -53,7 +53,7 @@
     def _turn(self, machine: Machine) -> tuple[bool, bool, bool, float, float, str]:
         """Which machine asks first."""
         used = machine.cpus / machine.kind.cpus
-        on_trial = self.tables.zones.asks_last(machine)
+        on_trial = self.tables.zones.is_last_resort(machine)
         return on_trial, not machine.spot, not machine.keeps_up, machine.kind.price, used, machine.host
 
     def _prompt(self, machines: list[Machine], now: float) -> set[Machine]:
@@ -74,7 +74,7 @@
                 for job in tier.jobs:
                     self.preemption.for_replicas(job, prompt, now)
                 # A replica whose image has to be fetched starts soonest where that goes quickest.
-                asking.sort(key=lambda one: (self.tables.zones.asks_last(one), -one.kind.fetch_gb_per_s))
+                asking.sort(key=lambda one: (self.tables.zones.is_last_resort(one), -one.kind.fetch_gb_per_s))
             for machine in asking:
                 if now >= machine.hold_until or tier.rank <= machine.hold_rank:
                     made += self._fill(machine, tier, score, now)
--- a/ladderfield/leader/sessions.py
+++ b/ladderfield/leader/sessions.py
@@ -54,7 +54,7 @@
         lost_all = came_back_with_nothing(machine, report)
         self._note_sign_of_life(machine, accepted, now)
         if lost_all:
-            self.tables.zones.restarted(machine)
+            self.tables.zones.on_machine_restarted(machine)
         if report.tenure > machine.tenure:
             machine.unanswered_launches.clear()  # orders of an earlier session are refused from now on
             recently = heard_before is not None and now - heard_before < self.tables.lease_s / 2
@@ -169,7 +169,7 @@
             if rung.phase == "running" and claim.phase != "running":
                 claim.running_at = now
                 if not inherited:
-                    tables.zones.runs(claim, machine, now)
+                    tables.zones.on_task_running(claim, machine, now)
                 log.debug("task %s: attempt %d runs on %s", task_name(claim.task), claim.attempt, machine.host)
                 machine.use_image(job.spec.image, job.spec.image_gb)
             claim.phase = rung.phase
--- a/ladderfield/leader/tables.py
+++ b/ladderfield/leader/tables.py
@@ -90,7 +90,7 @@
         job.bind(claim)
         self.unrecorded[claim] = None
         machine.take(claim)
-        self.zones.claimed(claim, machine)
+        self.zones.on_claim_made(claim, machine)
         self.teams.add(job.spec)
         log.debug("task %s: attempt %d claimed for %s", task_name(claim.task), claim.attempt, machine.host)
         return claim
@@ -100,7 +100,7 @@
         job = claim.job
         machine = self.machines[claim.host]
         machine.free(claim, now)
-        self.zones.ended(claim, machine, done, now)
+        self.zones.on_claim_ended(claim, machine, done, now)
         if claim.helped is not None:
             self.queues.helped(claim.helped, claim.host, -1)
         if claim.share is not None:
--- a/ladderfield/testing/loopback_zones.py
+++ b/ladderfield/testing/loopback_zones.py
@@ -17,14 +17,14 @@
 from ladderfield.testing.samples import TYPES, job
 from ladderfield.testing.state_service import StateService
 from ladderfield.testing.worker import Worker
-from ladderfield.zones.health import HOLD_MOST_S
+from ladderfield.zones.health import MAX_HOLD_S
 from ladderfield.zones.options import ZoneOptions
 
 REPORT_S, LEASE_S, CANCEL_S = 0.4, 2.0, 8.0
 FETCH_S, RUN_S = 0.3, 0.6
 REPLICAS = 3
 PORTAL, RECALC = "req-000001", "req-000002"
-WITHIN_S = HOLD_MOST_S + 30.0  # after many failures batch is held for as long as it may be
+WITHIN_S = MAX_HOLD_S + 30.0  # after many failures batch is held for as long as it may be
 ATTEMPTS = 100
 
 
