--- a/ladderfield/zones/__init__.py
+++ b/ladderfield/zones/__init__.py
@@ -1,1 +1,1 @@
-"""Zones that are lost and come back: their health, where their work goes meanwhile, and in what order it returns."""
+"""Zone failures: detection, evacuation of a lost zone, and the ordered return of work once the zone is back."""
--- a/ladderfield/zones/evidence.py
+++ b/ladderfield/zones/evidence.py
@@ -1,4 +1,4 @@
-"""What is known of the machines of one zone at one moment."""
+"""Counts of the machines of one zone at one moment."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 @dataclass(slots=True)
 class ZoneCounts:
-    """Counts of the machines in a zone that were heard in this term, or hold claims."""
+    """Counts of a zone's machines that reported in this term or hold claims."""
 
     machines: int = 0
-    impaired: int = 0  # silent, or on a way round a leader they can't reach, or deaf to what we say
-    unheard: int = 0  # silent
-    lapsed: int = 0  # of these: those whose lease is surely over
-    straight: int = 0  # came straight to us lately
+    impaired: int = 0  # silent, recently rerouted through another controller, or not receiving our answers
+    silent: int = 0
+    lease_expired: int = 0  # silent machines whose lease has certainly expired
+    reporting_directly: int = 0  # recently reported to this controller without a relay
 
     @property
-    def present(self) -> int:
+    def reporting(self) -> int:
         """Machines that report."""
-        return self.machines - self.unheard
+        return self.machines - self.silent
 
     @property
-    def recent(self) -> int:
-        """Machines that fell silent within their lease, so that what they run may go on."""
-        return self.unheard - self.lapsed
+    def recently_silent(self) -> int:
+        """Silent machines whose lease may still be valid, so that their tasks may still run."""
+        return self.silent - self.lease_expired
--- a/ladderfield/zones/health.py
+++ b/ladderfield/zones/health.py
@@ -1,13 +1,13 @@
-"""Whether a zone is healthy, suspected, lost or on probation: a state machine without clock or I/O.
+"""The health of a zone: a state machine without a clock or I/O.
 
-    healthy -> suspected   half of its machines fell silent together
-    suspected -> healthy   they came back within their leases: nothing was lost
-    suspected -> lost      the leases of half of them ran out, or they came back with nothing
-    lost -> probation      half of the machines that are left report
-    probation -> lost      half of them fell silent again: at once, and it counts as another failure
-    probation -> healthy   they reported steadily for long enough
+    healthy -> suspected   half of the zone's machines fell silent together
+    suspected -> healthy   the machines came back before their leases expired: nothing was lost
+    suspected -> lost      the leases of half of them expired, or they came back without their tasks
+    lost -> probation      half of the remaining machines report
+    probation -> lost      half of them fell silent again: immediate, and counted as another failure
+    probation -> healthy   the machines reported steadily for the probation period
 
-A zone with fewer than three machines is never judged, and one without machines keeps its state.
+A zone with fewer than three machines never becomes suspected, and a zone without machines keeps its state.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 
 from ladderfield.zones.evidence import ZoneCounts
 
-LEAST_MACHINES = 3  # fewer tell nothing of their zone
-LEAST_SILENT = 2  # one silent machine is that machine's failure
-FAILURE_FACTOR = 2.0  # each failure within the window lengthens the next probation by this
-BUSY_FACTOR = 2.0  # the same for a window that operators named
-DECAY = 10.0  # of lease_s: a zone that has been healthy for so long loses one failure
-MOST_FAILURES = 16  # counted; the bound on a probation comes long before
-FORGOTTEN_S = 90.0  # the protocol: so long a job may wait while a fitting machine has room
-HOLD_MOST_S = FORGOTTEN_S / 2  # no hold for the sake of a zone's return lasts longer
+MIN_MACHINES = 3  # fewer machines are not enough evidence about their zone
+MIN_SILENT_MACHINES = 2  # a single silent machine is a machine failure, not a zone failure
+FAILURE_FACTOR = 2.0  # multiplies the probation for each failure after the first
+BUSY_WINDOW_FACTOR = 2.0  # multiplies the probation within an operator-defined window
+FAILURE_DECAY_LEASES = 10.0  # a zone loses one failure each time it has been healthy for this long
+MAX_FAILURES = 16  # MAX_HOLD_S limits the probation well below this count
+MAX_JOB_WAIT_S = 90.0  # protocol limit on how long a job may wait while a suitable machine has room
+MAX_HOLD_S = MAX_JOB_WAIT_S / 2  # limit on any hold for a zone's return
 
 
 class ZoneState(enum.StrEnum):
-    """How a zone is."""
+    """The health state of a zone."""
 
     HEALTHY = "healthy"
     SUSPECTED = "suspected"
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class Timing:
-    """The deployment's pace, and how long a first probation lasts."""
+    """The worker lease and the length of a first probation."""
 
     lease_s: float
     probation_s: float
@@ -46,49 +46,49 @@
 
 @dataclass(frozen=True)
 class Transition:
-    """A zone's change from one state to another."""
+    """A zone's change of state."""
 
     zone: str
     before: ZoneState
     after: ZoneState
-    present: int
+    reporting: int
     failures: int
 
 
 class ZoneHealth:
-    """One zone."""
+    """The health of one zone."""
 
     def __init__(self, zone: str, timing: Timing, now: float) -> None:
         self.zone, self.timing = zone, timing
         self.state, self.since = ZoneState.HEALTHY, now
         self.failures = 0
-        self.failed_at = now  # the last failure, or since when the next one fades
-        self.held_from: float | None = None  # since when batch is held there: a suspicion, or a return
-        self.lost_since = 0  # machines that were given up, or came back with nothing, since the suspicion
-        self._size = 0  # machines that reported, or were within their leases, when it began
-        self._lapsed_before = 0
-        self._steady_from = now
+        self.failed_at = now  # time of the last failure, or the start of the current decay period
+        self.held_from: float | None = None  # start of the hold on batch tasks: suspicion or return
+        self.machines_lost = 0  # machines removed, or back without their tasks, since the zone was suspected
+        self._active_when_suspected = 0  # machines that reported or had valid leases at that time
+        self._lease_expired_when_suspected = 0
+        self._steady_since = now
 
     @property
-    def troubled(self) -> bool:
-        """Whether work there can't be counted on now."""
+    def suspected_or_lost(self) -> bool:
+        """Whether tasks in the zone may not be running."""
         return self.state in (ZoneState.SUSPECTED, ZoneState.LOST)
 
-    def holding(self, now: float) -> bool:
-        """Whether holds for the sake of the zone's return may still last, whatever its state.
+    def may_hold(self, now: float) -> bool:
+        """Whether the time limit on the zone's hold has not been reached, in any state.
 
-        Where no machine reported so far the time does not run yet: the first one must not find the hold over.
+        The limit does not start to run before a machine reports, so that the hold still applies to the first one.
         """
-        return self.held_from is None or now < self.held_from + HOLD_MOST_S
+        return self.held_from is None or now < self.held_from + MAX_HOLD_S
 
     def probation_s(self, busy: bool) -> float:
-        """How long the zone has to be steady: longer after each failure, and in a window that operators named."""
-        factor = FAILURE_FACTOR ** max(0, self.failures - 1) * (BUSY_FACTOR if busy else 1.0)
-        return min(HOLD_MOST_S, self.timing.probation_s * factor)
+        """The probation: longer after each further failure and in an operator-defined window."""
+        factor = FAILURE_FACTOR ** max(0, self.failures - 1) * (BUSY_WINDOW_FACTOR if busy else 1.0)
+        return min(MAX_HOLD_S, self.timing.probation_s * factor)
 
     def observe(self, counts: ZoneCounts, now: float, busy: bool) -> Transition | None:
-        """Take the evidence in; the change that follows, if any."""
-        self._fade(now)
+        """Update the state from machine counts; returns the transition, if any."""
+        self._decay_failures(now)
         if counts.machines == 0:
             return None
         after = {
@@ -99,69 +99,82 @@
         }[self.state](counts, now, busy)
         if after is self.state:
             return None
-        transition = Transition(self.zone, self.state, after, counts.present, self.failures)
+        transition = Transition(self.zone, self.state, after, counts.reporting, self.failures)
         self.state, self.since = after, now
         return transition
 
     def _when_healthy(self, counts: ZoneCounts, now: float, busy: bool) -> ZoneState:
-        active = counts.present + counts.recent
-        if active < LEAST_MACHINES or counts.recent < LEAST_SILENT or 2 * counts.recent < active:
+        active = counts.reporting + counts.recently_silent
+        if active < MIN_MACHINES or counts.recently_silent < MIN_SILENT_MACHINES or 2 * counts.recently_silent < active:
             return ZoneState.HEALTHY
-        self._size, self._lapsed_before, self.lost_since = active, counts.lapsed, 0
+        self._active_when_suspected, self._lease_expired_when_suspected, self.machines_lost = (
+            active,
+            counts.lease_expired,
+            0,
+        )
         self.held_from = now
         return ZoneState.SUSPECTED
 
     def _when_suspected(self, counts: ZoneCounts, now: float, busy: bool) -> ZoneState:
-        lost = max(0, counts.lapsed - self._lapsed_before) + self.lost_since
-        if 2 * lost >= self._size:
+        lost = max(0, counts.lease_expired - self._lease_expired_when_suspected) + self.machines_lost
+        if 2 * lost >= self._active_when_suspected:
             return self._fail(counts, now)
-        if counts.recent < LEAST_SILENT or 2 * counts.recent < counts.present + counts.recent:
+        if (
+            counts.recently_silent < MIN_SILENT_MACHINES
+            or 2 * counts.recently_silent < counts.reporting + counts.recently_silent
+        ):
             self.held_from = None
             return ZoneState.HEALTHY
         return ZoneState.SUSPECTED
 
     def _when_lost(self, counts: ZoneCounts, now: float, busy: bool) -> ZoneState:
-        if not counts.present:
+        if not counts.reporting:
             self.held_from = None
             return ZoneState.LOST
         if self.held_from is None:
             self.held_from = now
-        if 2 * counts.present < counts.machines:
+        if 2 * counts.reporting < counts.machines:
             return ZoneState.LOST
-        self._steady_from = now
+        self._steady_since = now
         return ZoneState.PROBATION
 
     def _when_on_probation(self, counts: ZoneCounts, now: float, busy: bool) -> ZoneState:
-        if not counts.present or (counts.recent >= LEAST_SILENT and counts.recent >= counts.present):
+        if not counts.reporting or (
+            counts.recently_silent >= MIN_SILENT_MACHINES and counts.recently_silent >= counts.reporting
+        ):
             return self._fail(counts, now)
-        if 2 * counts.present < counts.machines:
-            self._steady_from = now
-        if now - self._steady_from < self.probation_s(busy):
+        if 2 * counts.reporting < counts.machines:
+            self._steady_since = now
+        if now - self._steady_since < self.probation_s(busy):
             return ZoneState.PROBATION
-        self.failed_at = now  # only healthy time makes a failure fade
+        self.failed_at = now  # failures decay only while the zone is healthy
         return ZoneState.HEALTHY
 
     def _fail(self, counts: ZoneCounts, now: float) -> ZoneState:
-        self.failures = min(MOST_FAILURES, self.failures + 1)
+        self.failures = min(MAX_FAILURES, self.failures + 1)
         self.failed_at = now
-        self.held_from = now if counts.present else None
+        self.held_from = now if counts.reporting else None
         return ZoneState.LOST
 
-    def _fade(self, now: float) -> None:
-        """Forget one failure for each stretch of health."""
-        if self.state is ZoneState.HEALTHY and self.failures and now - self.failed_at > DECAY * self.timing.lease_s:
+    def _decay_failures(self, now: float) -> None:
+        """Remove one failure for each decay period in which the zone was healthy."""
+        if (
+            self.state is ZoneState.HEALTHY
+            and self.failures
+            and now - self.failed_at > FAILURE_DECAY_LEASES * self.timing.lease_s
+        ):
             self.failures -= 1
             self.failed_at = now
 
-    def delay(self, seconds: float) -> None:
-        """Probation and hold last so much longer."""
-        self._steady_from += seconds
+    def extend(self, seconds: float) -> None:
+        """Extend the probation and the hold."""
+        self._steady_since += seconds
         if self.held_from is not None:
             self.held_from += seconds
 
-    def resume(self, state: ZoneState, since: float, failures: int, failed_at: float, held_from: float | None) -> None:
-        """Go on where an earlier leader stood. What it was waiting for has to show anew."""
+    def restore(self, state: ZoneState, since: float, failures: int, failed_at: float, held_from: float | None) -> None:
+        """Restore the state stored by an earlier leader. Counts that it had collected start over."""
         self.state, self.since, self.failures, self.failed_at = state, since, failures, failed_at
         self.held_from = since if held_from is None and state is not ZoneState.LOST else held_from
-        self._steady_from = since
-        self._size, self._lapsed_before = LEAST_MACHINES, 0
+        self._steady_since = since
+        self._active_when_suspected, self._lease_expired_when_suspected = MIN_MACHINES, 0
--- a/ladderfield/zones/options.py
+++ b/ladderfield/zones/options.py
@@ -1,4 +1,4 @@
-"""The operators' flags about zones, checked."""
+"""Validation of the operators' flags for zone handling."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from ladderfield.flags import FlagError
-from ladderfield.zones.health import HOLD_MOST_S
+from ladderfield.zones.health import MAX_HOLD_S
 from ladderfield.zones.order import ReturnOrder, ReturnOrderError, parse_order
 
 if TYPE_CHECKING:
@@ -20,12 +20,12 @@
 
 
 class ZoneOptionError(FlagError):
-    """A flag about zones can't be used."""
+    """Raised for an invalid zone flag."""
 
 
 @dataclass(frozen=True)
 class ZoneFlags:
-    """The flags as they were given."""
+    """The flags as given on the command line."""
 
     order: str | None = None
     zone_orders: tuple[tuple[str, str], ...] = ()
@@ -37,36 +37,38 @@
 
 @dataclass(frozen=True)
 class ZoneOptions:
-    """What the flags mean."""
+    """The validated flags."""
 
     order: ReturnOrder
     zone_orders: dict[str, ReturnOrder]
-    probation_s: float | None = None  # None: a ratio to the deployment's pace
+    probation_s: float | None = None  # None: derived from the report interval
     calendar: BusyCalendar | None = None
 
     def order_for(self, zone: str) -> ReturnOrder:
-        """The order in which work returns to a zone."""
+        """The return order that applies to a zone."""
         return self.zone_orders.get(zone, self.order)
 
 
 def check(flags: ZoneFlags, zones: Collection[str], clock_off_s: float) -> ZoneOptions | None:
-    """The options, or None if the feature is off; ZoneOptionError names the flag that can't be used."""
+    """Validate the flags; None if the feature is off. ZoneOptionError names the invalid flag."""
     if flags.order is None:
-        _refuse_without_order(flags)
+        _reject_flags_without_order(flags)
         return None
-    if flags.probation_s is not None and not 0 < flags.probation_s <= HOLD_MOST_S:
-        raise ZoneOptionError(PROBATION, f"{flags.probation_s:g} is not above 0 and at most {HOLD_MOST_S:g} s")
+    if flags.probation_s is not None and not 0 < flags.probation_s <= MAX_HOLD_S:
+        raise ZoneOptionError(PROBATION, f"{flags.probation_s:g} must be greater than 0 and at most {MAX_HOLD_S:g} s")
     orders: dict[str, ReturnOrder] = {}
     for zone, text in flags.zone_orders:
         if zone not in zones:
             raise ZoneOptionError(ZONE_ORDER, f"unknown zone {zone!r}; known are {', '.join(sorted(zones))}")
         if zone in orders:
-            raise ZoneOptionError(ZONE_ORDER, f"{zone} stands there twice")
-        orders[zone] = _order(ZONE_ORDER, text)
-    return ZoneOptions(_order(ORDER, flags.order), orders, flags.probation_s, _calendar(flags, clock_off_s))
+            raise ZoneOptionError(ZONE_ORDER, f"{zone} is given more than once")
+        orders[zone] = _parse_order_flag(ZONE_ORDER, text)
+    return ZoneOptions(
+        _parse_order_flag(ORDER, flags.order), orders, flags.probation_s, _build_calendar(flags, clock_off_s)
+    )
 
 
-def _refuse_without_order(flags: ZoneFlags) -> None:
+def _reject_flags_without_order(flags: ZoneFlags) -> None:
     given = {
         ZONE_ORDER: flags.zone_orders, PROBATION: flags.probation_s is not None, WINDOW: flags.windows,
         TIME_ZONE: flags.time_zone, HOLIDAYS: flags.holidays,
@@ -76,15 +78,15 @@
             raise ZoneOptionError(flag, f"has no effect without {ORDER}")
 
 
-def _order(flag: str, text: str) -> ReturnOrder:
+def _parse_order_flag(flag: str, text: str) -> ReturnOrder:
     try:
         return parse_order(text)
     except ReturnOrderError as error:
         raise ZoneOptionError(flag, str(error)) from None
 
 
-def _calendar(flags: ZoneFlags, clock_off_s: float) -> BusyCalendar | None:
-    """The windows' calendar. Its libraries are imported only here, as a start should not pay for them otherwise."""
+def _build_calendar(flags: ZoneFlags, clock_off_s: float) -> BusyCalendar | None:
+    """Build the calendar of the windows; its libraries are imported on demand to keep startup fast."""
     if not flags.windows:
         for flag, value in ((TIME_ZONE, flags.time_zone), (HOLIDAYS, flags.holidays)):
             if value is not None:
@@ -108,16 +110,16 @@
     if any(window.after_holiday for window in windows):
         if flags.holidays is None:
             raise ZoneOptionError(WINDOW, f"{AFTER_HOLIDAY} needs {HOLIDAYS}")
-        holidays = _public_holidays(flags.holidays)
+        holidays = _load_holidays(flags.holidays)
     return BusyCalendar(windows, time_zone, holidays, clock_off_s)
 
 
-def _public_holidays(country: str) -> Collection[datetime.date]:
-    """The public holidays of a country, or of a part of one (``MY-10``); years are added as they are asked for."""
+def _load_holidays(country: str) -> Collection[datetime.date]:
+    """The public holidays of a country or one of its subdivisions (``MY-10``); the library adds years on demand."""
     import holidays
 
-    name, _, part = country.partition("-")
+    code, _, subdivision = country.partition("-")
     try:
-        return holidays.country_holidays(name, subdiv=part or None)
+        return holidays.country_holidays(code, subdiv=subdivision or None)
     except NotImplementedError:
         raise ZoneOptionError(HOLIDAYS, f"no calendar of public holidays for {country!r}") from None
--- a/ladderfield/zones/order.py
+++ b/ladderfield/zones/order.py
@@ -1,4 +1,4 @@
-"""The order in which priorities return to a zone, as operators state it."""
+"""The operator-defined order in which job priorities return to a zone."""
 
 from __future__ import annotations
 
@@ -8,34 +8,34 @@
 
 
 class ReturnOrderError(ValueError):
-    """Not an order of priorities; the text says why."""
+    """Raised for an invalid order of priorities; the message gives the reason."""
 
 
 @dataclass(frozen=True)
 class ReturnOrder:
-    """Which priorities belong to which wave; what no wave names comes with the last."""
+    """The priorities of each wave; priorities that no wave names belong to the last one."""
 
     waves: tuple[tuple[str, ...], ...]
 
     @property
-    def last(self) -> int:
-        """The number of the last wave."""
+    def last_wave(self) -> int:
+        """The index of the last wave."""
         return len(self.waves) - 1
 
     def wave_of(self, rank: int) -> int:
-        """The wave in which jobs of this rank return."""
+        """The index of the wave in which jobs of this rank return."""
         for number, names in enumerate(self.waves):
             if any(RANKS[name] == rank for name in names):
                 return number
-        return self.last
+        return self.last_wave
 
-    def name(self, wave: int) -> str:
-        """The wave's priorities."""
+    def wave_name(self, wave: int) -> str:
+        """The priorities of a wave, joined as in the flag."""
         return "+".join(self.waves[wave])
 
 
 def parse_order(text: str) -> ReturnOrder:
-    """An order such as ``production,urgent+standard,best_effort``."""
+    """Parse an order such as ``production,urgent+standard,best_effort``."""
     waves = tuple(tuple(names.strip().split("+")) for names in text.split(","))
     named = [name for names in waves for name in names]
     for name in named:
@@ -43,9 +43,9 @@
             raise ReturnOrderError(f"unknown priority {name!r}; known are {', '.join(RANKS)}")
     for name in RANKS:
         if named.count(name) > 1:
-            raise ReturnOrderError(f"{name} stands there twice")
+            raise ReturnOrderError(f"{name} is given more than once")
     if waves[0] != (PRODUCTION,):
-        raise ReturnOrderError(f"{PRODUCTION} has to come first, alone")
+        raise ReturnOrderError(f"{PRODUCTION} must be first and in a wave of its own")
     if len(waves) < 2:
-        raise ReturnOrderError("at least two waves are needed")
+        raise ReturnOrderError("at least two waves are required")
     return ReturnOrder(waves)
--- a/ladderfield/zones/policy.py
+++ b/ladderfield/zones/policy.py
@@ -1,4 +1,4 @@
-"""What the scheduler asks about zones, answered as if no zone ever failed: the behaviour with the feature off."""
+"""The scheduler's interface to zone handling; this default treats every zone as healthy (feature off)."""
 
 from __future__ import annotations
 
@@ -16,52 +16,52 @@
 
 
 class ZonePolicy:
-    """Allows everything and remembers nothing."""
+    """Allows every placement and keeps no state."""
 
-    record: ZoneRecord | None = None  # what a successor has to know, if anything
+    record: ZoneRecord | None = None  # state for the next leader, None if there is none to store
 
-    def load(self, value: Any, stamp: int, now: float) -> None:
-        """Take over what an earlier leader left on record."""
+    def load(self, value: Any, revision: int, now: float) -> None:
+        """Restore the state that an earlier leader stored."""
 
     def observe(self, counts: Mapping[str, ZoneCounts], now: float) -> None:
-        """What is known of the machines of each zone now."""
+        """Update zone states from the current machine counts of each zone."""
 
-    def delay(self, now: float) -> None:
-        """Nothing can be started now: no time runs for what waits for a start."""
+    def extend_holds(self, now: float) -> None:
+        """Extend holds and probations by the time since the last update, because no task can start now."""
 
-    def controllers_checked(self, reachable: Mapping[str, bool]) -> None:
-        """Whether any controller of each zone answered lately."""
+    def on_controllers_checked(self, reachable: Mapping[str, bool]) -> None:
+        """Handle a check of the controllers: for each zone, whether any of its controllers answered recently."""
 
     def begin_pass(self, usable: Iterable[Machine], now: float) -> None:
-        """A pass of scheduling begins."""
+        """Prepare for a scheduling pass over the usable machines."""
 
     def order_tiers(self, tiers: list[Tier]) -> list[Tier]:
-        """The tiers in the order in which they get room."""
+        """Return the tiers in the order in which they are scheduled."""
         return tiers
 
-    def asks_last(self, machine: Machine) -> bool:
-        """Whether the machine gets tasks only where no other has room."""
+    def is_last_resort(self, machine: Machine) -> bool:
+        """Whether the machine gets tasks only if no other machine has room."""
         return False
 
     def admits(self, machine: Machine, job: Job) -> bool:
-        """Whether a task of the job may start on the machine now, as far as zones are concerned."""
+        """Whether the state of the machine's zone allows a task of the job to start there now."""
         return True
 
-    def rents_in(self, zone: str, spec: JobSpec, now: float) -> bool:
-        """Whether machines may be rented there for tasks of the job."""
+    def may_rent_in(self, zone: str, spec: JobSpec, now: float) -> bool:
+        """Whether machines may be rented in the zone for tasks of the job."""
         return True
 
-    def claimed(self, claim: Claim, machine: Machine) -> None:
-        """A claim was made in the present pass."""
+    def on_claim_made(self, claim: Claim, machine: Machine) -> None:
+        """Handle a claim made in the current scheduling pass."""
 
-    def ended(self, claim: Claim, machine: Machine, done: bool, now: float) -> None:
-        """A claim no longer binds."""
+    def on_claim_ended(self, claim: Claim, machine: Machine, done: bool, now: float) -> None:
+        """Handle the end of a claim."""
 
-    def runs(self, claim: Claim, machine: Machine, now: float) -> None:
-        """A task was seen to run for the first time."""
+    def on_task_running(self, claim: Claim, machine: Machine, now: float) -> None:
+        """Handle the first report that shows a task running."""
 
-    def restarted(self, machine: Machine) -> None:
-        """A machine came back with a new session: its lease had run out, and all that it ran is lost."""
+    def on_machine_restarted(self, machine: Machine) -> None:
+        """Handle a machine's new session: its lease had expired, and all its tasks were lost."""
 
-    def forgotten(self, machine: Machine, lost: bool, now: float) -> None:
-        """A machine is gone for good; ``lost``: it was silent, and had work."""
+    def on_machine_removed(self, machine: Machine, lost: bool, now: float) -> None:
+        """Handle the removal of a machine; ``lost`` means that it was silent and held claims."""
--- a/ladderfield/zones/reserve.py
+++ b/ladderfield/zones/reserve.py
@@ -1,4 +1,4 @@
-"""Room that is kept for production services which a lost zone had, while they are still to be moved."""
+"""Capacity reserved for production services of an evacuated zone until they are placed elsewhere."""
 
 from __future__ import annotations
 
@@ -11,48 +11,50 @@
 
 
 class Reservation:
-    """Places for the displaced services on the machines of one pass.
+    """Free slots for displaced services on the machines of one scheduling pass.
 
-    Other tasks may use all room but the last places: a service that finds none would have to stop them again.
+    Other tasks may use all capacity except the last slots that the services need: a service without a slot would have
+    to preempt them again.
     """
 
     def __init__(self, displaced: Iterable[Job], machines: Iterable[Machine]) -> None:
-        self._needs: dict[Shape, int] = {}
+        self._needed: dict[Shape, int] = {}
         self._specs: dict[Shape, JobSpec] = {}
         for job in displaced:
-            self._needs[job.shape] = self._needs.get(job.shape, 0) + 1
+            self._needed[job.shape] = self._needed.get(job.shape, 0) + 1
             self._specs.setdefault(job.shape, job.spec)
-        machines = list(machines) if self._needs else []
-        self._places = {
-            shape: {machine.host: places(machine, spec) for machine in machines} for shape, spec in self._specs.items()
+        machines = list(machines) if self._needed else []
+        self._slots = {
+            shape: {machine.host: free_slots(machine, spec) for machine in machines}
+            for shape, spec in self._specs.items()
         }
-        self._left = {shape: sum(by_host.values()) for shape, by_host in self._places.items()}
+        self._remaining = {shape: sum(by_host.values()) for shape, by_host in self._slots.items()}
 
     def allows(self, machine: Machine, spec: JobSpec) -> bool:
-        """Whether a task may start there and still leave enough places."""
-        for shape, need in self._needs.items():
-            before = self._places[shape].get(machine.host, 0)
-            taken = before - places(machine, self._specs[shape], spec)
-            if taken > 0 and self._left[shape] - taken < need:
+        """Whether a task may start there and leave enough slots for the displaced services."""
+        for shape, needed in self._needed.items():
+            before = self._slots[shape].get(machine.host, 0)
+            taken = before - free_slots(machine, self._specs[shape], spec)
+            if taken > 0 and self._remaining[shape] - taken < needed:
                 return False
         return True
 
-    def claimed(self, claim: Claim, machine: Machine) -> None:
-        """A claim was made there: count its machine anew."""
-        if claim.job.shape in self._needs:
-            self._needs[claim.job.shape] = max(0, self._needs[claim.job.shape] - 1)
-        for shape, by_host in self._places.items():
+    def record_claim(self, claim: Claim, machine: Machine) -> None:
+        """Update the slots of a machine on which a claim was made."""
+        if claim.job.shape in self._needed:
+            self._needed[claim.job.shape] = max(0, self._needed[claim.job.shape] - 1)
+        for shape, by_host in self._slots.items():
             if machine.host in by_host:
-                now_left = places(machine, self._specs[shape])
-                self._left[shape] += now_left - by_host[machine.host]
-                by_host[machine.host] = now_left
+                remaining = free_slots(machine, self._specs[shape])
+                self._remaining[shape] += remaining - by_host[machine.host]
+                by_host[machine.host] = remaining
 
 
-def places(machine: Machine, spec: JobSpec, beside: JobSpec | None = None) -> int:
-    """How many tasks fit into the machine's free room, beside one more task if one is named."""
+def free_slots(machine: Machine, spec: JobSpec, alongside: JobSpec | None = None) -> int:
+    """The number of tasks that fit on the machine, optionally with one task of another job started as well."""
     if not machine.allows(spec):
         return 0
     cpus, gpus, memory_gb = machine.cpus, machine.gpus, machine.memory_gb
-    if beside is not None:
-        cpus, gpus, memory_gb = cpus - beside.cpus, gpus - beside.gpus, memory_gb - beside.memory_gb
+    if alongside is not None:
+        cpus, gpus, memory_gb = cpus - alongside.cpus, gpus - alongside.gpus, memory_gb - alongside.memory_gb
     return slots(spec, cpus, gpus, memory_gb, most=UNBOUNDED)
--- a/ladderfield/zones/return_log.py
+++ b/ladderfield/zones/return_log.py
@@ -1,4 +1,4 @@
-"""What became of the work of lost zones: a line for each return, and histograms of how long it took."""
+"""Logs where tasks of lost zones run again, with histograms of the time that this took."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 log = logging.getLogger(__name__)
 
-ACCURACY = 0.02  # of a quantile, relatively
-NAMES = {rank: name for name, rank in RANKS.items()}
+RELATIVE_ACCURACY = 0.02  # of the quantiles
+PRIORITY_NAMES = {rank: name for name, rank in RANKS.items()}
 
 
 @dataclass(frozen=True)
-class Displaced:
+class DisplacedTask:
     """A task whose claim ended because its zone was lost."""
 
     zone: str
@@ -29,69 +29,69 @@
 
 
 class ReturnLog:
-    """Follows displaced tasks until they run again."""
-
-    def __init__(self, most: int) -> None:
-        self._most = most
-        self._displaced: OrderedDict[TaskId, Displaced] = OrderedDict()
-        self._healthy_at: dict[str, float] = {}  # of zones that return
-        self.elsewhere: dict[int, DDSketch] = {}  # by rank: seconds from the end of a claim to running in another zone
-        self.returned: dict[int, DDSketch] = {}  # by rank: seconds from a zone's return to running there
-
-    def displaced(self, claim: Claim, zone: str, now: float) -> None:
-        """A claim ended with the zone."""
-        self._displaced[claim.task] = Displaced(zone, now)
-        if len(self._displaced) > self._most:
+    """Tracks displaced tasks until they run again."""
+
+    def __init__(self, max_tasks: int) -> None:
+        self._max_tasks = max_tasks
+        self._displaced: OrderedDict[TaskId, DisplacedTask] = OrderedDict()
+        self._returned_at: dict[str, float] = {}  # by zone to which work is returning
+        self.moved: dict[int, DDSketch] = {}  # seconds from the end of the claim to running in another zone, by rank
+        self.returned: dict[int, DDSketch] = {}  # seconds from the zone's return to running there, by rank
+
+    def record_displaced(self, claim: Claim, zone: str, now: float) -> None:
+        """Record a task whose claim ended because its zone was lost."""
+        self._displaced[claim.task] = DisplacedTask(zone, now)
+        if len(self._displaced) > self._max_tasks:
             self._displaced.popitem(last=False)
 
     def forget(self, claim: Claim) -> None:
-        """The task is done, or its job is over."""
+        """Stop tracking a task that is done or whose job has ended."""
         self._displaced.pop(claim.task, None)
 
-    def returns(self, zone: str, now: float) -> None:
-        """The zone's machines report again."""
-        self._healthy_at[zone] = now
+    def begin_return(self, zone: str, now: float) -> None:
+        """Start timing for a zone whose machines report again."""
+        self._returned_at[zone] = now
 
-    def lost(self, zone: str) -> None:
-        """It is lost again, or its return is complete."""
-        self._healthy_at.pop(zone, None)
+    def end_return(self, zone: str) -> None:
+        """Stop timing for a zone that is lost again or whose return is complete."""
+        self._returned_at.pop(zone, None)
 
-    def runs(self, claim: Claim, machine: Machine, wave: str, now: float) -> None:
-        """A task runs; noted if it was displaced, or if its zone returns."""
+    def record_running(self, claim: Claim, machine: Machine, wave: str, now: float) -> None:
+        """Log and time a task that started to run, if it was displaced or work is returning to its zone."""
         displaced = self._displaced.pop(claim.task, None)
         rank, zone = claim.job.order[0], machine.zone
-        if zone in self._healthy_at:
-            waited = now - self._healthy_at[zone]
-            _add(self.returned, rank, waited)
+        if zone in self._returned_at:
+            waited = now - self._returned_at[zone]
+            _add_sample(self.returned, rank, waited)
             source = displaced.zone if displaced is not None else "the queue"
             log.info(
-                "zone %s: wave %s: job %s: task %s runs on %s, from %s, %.1f s after the zone came back",
+                "zone %s: wave %s: job %s: task %s running on %s, from %s, %.1f s after the zone's return",
                 zone, wave, claim.job.uid, task_name(claim.task), machine.host, source, waited,
             )  # fmt: skip
         elif displaced is not None:
             waited = now - displaced.at
-            _add(self.elsewhere, rank, waited)
+            _add_sample(self.moved, rank, waited)
             log.info(
-                "zone %s: lost: job %s: task %s runs on %s in %s, waited %.1f s",
+                "zone %s: lost: job %s: task %s running on %s in %s after %.1f s",
                 displaced.zone, claim.job.uid, task_name(claim.task), machine.host, zone, waited,
             )  # fmt: skip
 
-    def summary(self) -> list[str]:
-        """A line for each histogram."""
+    def summary_lines(self) -> list[str]:
+        """One line of text for each histogram."""
         lines = []
-        for what, sketches in (("moved elsewhere", self.elsewhere), ("returned", self.returned)):
+        for title, sketches in (("moved to another zone", self.moved), ("returned", self.returned)):
             for rank, sketch in sorted(sketches.items()):
-                middle, most, worst = (sketch.get_quantile_value(share) for share in (0.5, 0.95, 1.0))
+                p50, p95, longest = (sketch.get_quantile_value(share) for share in (0.5, 0.95, 1.0))
                 lines.append(
-                    f"{what}: {NAMES[rank]}: {sketch.count:.0f} tasks, seconds to running: "
-                    f"half {middle:.1f}, 95% {most:.1f}, longest {worst:.1f}"
+                    f"{title}: {PRIORITY_NAMES[rank]}: {sketch.count:.0f} tasks, seconds until running: "
+                    f"p50 {p50:.1f}, p95 {p95:.1f}, max {longest:.1f}"
                 )
         return lines
 
 
-def _add(sketches: dict[int, DDSketch], rank: int, seconds: float) -> None:
+def _add_sample(sketches: dict[int, DDSketch], rank: int, seconds: float) -> None:
     if rank not in sketches:
-        from ddsketch import DDSketch  # a start should not pay for it
+        from ddsketch import DDSketch  # imported on first use to keep startup fast
 
-        sketches[rank] = DDSketch(ACCURACY)
+        sketches[rank] = DDSketch(RELATIVE_ACCURACY)
     sketches[rank].add(max(0.0, seconds))
--- a/ladderfield/zones/test_loopback.py
+++ b/ladderfield/zones/test_loopback.py
@@ -1,6 +1,6 @@
-"""A zone that flaps, over real sockets.
+"""A flapping zone over real sockets.
 
-Only the order of what happens is asserted: the clock is real, and the machine that runs this may be slow.
+The test asserts only the order of events, because the clock is real and the test machine may be slow.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 FLAPS = 3
 
 
-def test_no_batch_task_begins_in_a_returning_zone_before_the_service_runs_there() -> None:
+def test_no_batch_task_starts_in_a_returning_zone_before_the_service_runs_there() -> None:
     options = check(ZoneFlags("production,standard,best_effort"), ZONES, 0.0)
     outages, starts = trio.run(flap, options, FLAPS)
     assert [outage.missing for outage in outages] == [REPLICAS] * FLAPS
     assert batch_before_service(outages, starts) == [[]] * FLAPS
-    assert max(starts) > outages[-1].back_at, "and batch is back after it"
+    assert max(starts) > outages[-1].back_at, "batch returns after the last outage"
--- a/ladderfield/zones/test_options.py
+++ b/ladderfield/zones/test_options.py
@@ -1,4 +1,4 @@
-"""The flags: what they mean, and one line for what they can't mean."""
+"""Validation of the zone flags."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 BILLING = ("billing", "mon,2026-03-08,2026-11-01", "01:15", "02:30")
 
 
-def calendar(
+def make_calendar(
     time_zone: str = "America/New_York", *windows: tuple[str, str, str, str], holidays: str | None = None
 ) -> BusyCalendar:
     options = check(
@@ -30,8 +30,8 @@
     return options.calendar
 
 
-def at(text: str) -> float:
-    """A moment, in UTC."""
+def utc(text: str) -> float:
+    """The timestamp of a time in UTC."""
     return datetime.datetime.fromisoformat(text + "+00:00").timestamp()
 
 
@@ -41,10 +41,10 @@
     order = options.order_for("za")
     assert [order.wave_of(RANKS[name]) for name in ("production", "urgent", "standard", "best_effort")] == [0, 1, 1, 2]
     other = options.order_for("zb")
-    assert other.wave_of(RANKS["urgent"]) == 1, "what no wave names comes with the last"
+    assert other.wave_of(RANKS["urgent"]) == 1, "unnamed priorities belong to the last wave"
 
 
-def test_without_an_order_it_is_off() -> None:
+def test_without_an_order_the_feature_is_off() -> None:
     assert check(ZoneFlags(), ["za"], 0.0) is None
 
 
@@ -83,7 +83,7 @@
         ),
     ],
 )  # fmt: skip
-def test_what_can_not_be_meant_ends_with_code_2_and_one_line(tmp_path: Path, arguments: list[str], flag: str) -> None:
+def test_an_invalid_flag_exits_with_code_2_and_one_line(tmp_path: Path, arguments: list[str], flag: str) -> None:
     config = tmp_path / "settings.json"
     config.write_text(json.dumps(SETTINGS))
     result = CliRunner().invoke(main, ["serve", *arguments, "--config", str(config)])
@@ -101,7 +101,7 @@
         ("ZONE_TIME_ZONE", "Mars/Base", "--zone-time-zone"),
     ],
 )
-def test_each_flag_is_a_variable_of_its_name(tmp_path: Path, variable: str, value: str, flag: str) -> None:
+def test_each_flag_can_be_set_by_an_environment_variable(tmp_path: Path, variable: str, value: str, flag: str) -> None:
     config = tmp_path / "settings.json"
     config.write_text(json.dumps(SETTINGS))
     names = {"ZONE_ORDER": ORDER, "ZONE_TIME_ZONE": "UTC", "ZONE_WINDOW": "w mon 06:00 07:00"} | {variable: value}
@@ -110,41 +110,41 @@
     assert result.exit_code == 2 and result.output.startswith(f"ladderfield: {flag}: ")
 
 
-def test_a_window_on_an_ordinary_day() -> None:
-    one = calendar()
+def test_a_window_applies_on_its_weekdays() -> None:
+    calendar = make_calendar()
     monday = "2026-06-01T"  # 01:15 in New York is 05:15 in UTC
-    assert one.busy(at(monday + "05:14:59")) is None
-    assert one.busy(at(monday + "05:15:00") - 0.02) == "billing", "the clock may be off"
-    assert one.busy(at(monday + "06:29:59")) == "billing"
-    assert one.busy(at(monday + "06:30:01")) is None
-    assert one.busy(at("2026-06-02T05:30:00")) is None
+    assert calendar.window_at(utc(monday + "05:14:59")) is None
+    assert calendar.window_at(utc(monday + "05:15:00") - 0.02) == "billing", "the clock may be inaccurate"
+    assert calendar.window_at(utc(monday + "06:29:59")) == "billing"
+    assert calendar.window_at(utc(monday + "06:30:01")) is None
+    assert calendar.window_at(utc("2026-06-02T05:30:00")) is None
 
 
-def test_a_bound_in_the_missing_hour_makes_the_window_longer() -> None:
-    one = calendar()  # on 2026-03-08 the hour from 2 to 3 is missing: at 07:00 in UTC it is 3 o'clock
-    assert one.busy(at("2026-03-08T06:14:00")) is None
-    assert one.busy(at("2026-03-08T06:15:00")) == "billing"
-    assert one.busy(at("2026-03-08T07:29:00")) == "billing", "02:30 counts as 03:30"
-    assert one.busy(at("2026-03-08T07:31:00")) is None
+def test_an_end_in_the_skipped_hour_lengthens_the_window() -> None:
+    calendar = make_calendar()  # on 2026-03-08 the hour from 2 to 3 is skipped: 07:00 UTC is 03:00 local time
+    assert calendar.window_at(utc("2026-03-08T06:14:00")) is None
+    assert calendar.window_at(utc("2026-03-08T06:15:00")) == "billing"
+    assert calendar.window_at(utc("2026-03-08T07:29:00")) == "billing", "02:30 is read as 03:30"
+    assert calendar.window_at(utc("2026-03-08T07:31:00")) is None
 
 
-def test_a_bound_in_the_repeated_hour_makes_the_window_longer() -> None:
-    one = calendar()  # on 2026-11-01 the hour from 1 to 2 comes twice: from 05:00 and from 06:00 in UTC
-    assert one.busy(at("2026-11-01T05:14:00")) is None
-    assert one.busy(at("2026-11-01T05:16:00")) == "billing", "from its first coming"
-    assert one.busy(at("2026-11-01T07:29:00")) == "billing"
+def test_a_begin_in_the_repeated_hour_lengthens_the_window() -> None:
+    calendar = make_calendar()  # on 2026-11-01 the hour from 1 to 2 is repeated: from 05:00 and from 06:00 UTC
+    assert calendar.window_at(utc("2026-11-01T05:14:00")) is None
+    assert calendar.window_at(utc("2026-11-01T05:16:00")) == "billing", "from the first occurrence"
+    assert calendar.window_at(utc("2026-11-01T07:29:00")) == "billing"
 
 
-def test_a_window_that_begins_in_the_missing_hour_or_ends_in_the_repeated_one() -> None:
-    missing = calendar("America/New_York", ("early", "2026-03-08", "02:10", "04:00"))
-    assert missing.busy(at("2026-03-08T06:11:00")) == "early", "from 01:10, as if the hour were not missing yet"
-    repeated = calendar("America/New_York", ("late", "2026-11-01", "00:30", "01:30"))
-    assert repeated.busy(at("2026-11-01T06:29:00")) == "late", "until its second coming"
-    assert repeated.busy(at("2026-11-01T06:31:00")) is None
+def test_a_begin_in_the_skipped_hour_or_an_end_in_the_repeated_hour_lengthens_the_window() -> None:
+    skipped = make_calendar("America/New_York", ("early", "2026-03-08", "02:10", "04:00"))
+    assert skipped.window_at(utc("2026-03-08T06:11:00")) == "early", "from 01:10, by the offset after the change"
+    repeated = make_calendar("America/New_York", ("late", "2026-11-01", "00:30", "01:30"))
+    assert repeated.window_at(utc("2026-11-01T06:29:00")) == "late", "until the second occurrence"
+    assert repeated.window_at(utc("2026-11-01T06:31:00")) is None
 
 
-def test_the_monday_after_a_public_holiday() -> None:
-    one = calendar("Asia/Kuala_Lumpur", ("raya", "monday-after-holiday", "08:00", "12:00"), holidays="MY")
-    assert one.busy(at("2026-09-07T02:00:00")) == "raya", "the national day was the Monday before"
-    assert one.busy(at("2026-10-12T02:00:00")) is None
-    assert one.busy(at("2026-09-08T02:00:00")) is None
+def test_a_window_applies_on_the_monday_after_a_public_holiday() -> None:
+    calendar = make_calendar("Asia/Kuala_Lumpur", ("raya", "monday-after-holiday", "08:00", "12:00"), holidays="MY")
+    assert calendar.window_at(utc("2026-09-07T02:00:00")) == "raya", "the national day was one week earlier"
+    assert calendar.window_at(utc("2026-10-12T02:00:00")) is None
+    assert calendar.window_at(utc("2026-09-08T02:00:00")) is None
--- a/ladderfield/zones/waves.py
+++ b/ladderfield/zones/waves.py
@@ -1,4 +1,4 @@
-"""Waves in which work returns to a zone, and which tasks a cold machine there may begin."""
+"""The waves in which work returns to a zone, and the limit on image fetches by a machine there."""
 
 from __future__ import annotations
 
@@ -12,39 +12,39 @@
 from ladderfield.zones.order import ReturnOrder
 
 PRODUCTION_RANK = RANKS["production"]
-FETCHES = 2  # images that a returning machine fetches at the same time
+MAX_CONCURRENT_FETCHES = 2  # per machine in a returning zone
 
 
-class Return:
-    """One zone's return. The first wave is open from the start, as services must not wait for a probation."""
+class ZoneReturn:
+    """The return of work to one zone. The first wave opens at once: services don't wait for the probation."""
 
     def __init__(self, zone: str, order: ReturnOrder, wave: int = 0) -> None:
-        self.zone, self.order, self.wave = zone, order, min(wave, order.last + 1)
+        self.zone, self.order, self.wave = zone, order, min(wave, order.last_wave + 1)
 
     @property
     def complete(self) -> bool:
-        """Whether the last wave, too, needs nothing more."""
-        return self.wave > self.order.last
+        """Whether all waves are finished."""
+        return self.wave > self.order.last_wave
 
-    def opens(self, rank: int) -> bool:
-        """Whether jobs of this rank may return."""
+    def admits_rank(self, rank: int) -> bool:
+        """Whether the wave of this rank is open."""
         return self.order.wave_of(rank) <= self.wave
 
     def advance(self, machines: list[Machine], jobs: Iterable[Job], teams: Teams, now: float) -> bool:
-        """Open the next wave if the present one runs, or needs nothing more there."""
-        if self.complete or self._needs(machines, jobs, teams, now):
+        """Open the next wave if the current one has no unfinished work; returns whether it did."""
+        if self.complete or self._has_unfinished_work(machines, jobs, teams, now):
             return False
         self.wave += 1
         return True
 
-    def _needs(self, machines: list[Machine], jobs: Iterable[Job], teams: Teams, now: float) -> bool:
-        """Whether a task of the present wave is being fetched there, or could start there now."""
+    def _has_unfinished_work(self, machines: list[Machine], jobs: Iterable[Job], teams: Teams, now: float) -> bool:
+        """Whether a task of the current wave is starting on one of the machines, or could start there now."""
         for machine in machines:
-            if any(self._of_wave(claim.job) and claim.phase != "running" for claim in machine.claims.values()):
+            if any(self._in_current_wave(claim.job) and claim.phase != "running" for claim in machine.claims.values()):
                 return True
         seen: set[Shape] = set()
         for job in jobs:
-            if job.final is not None or not job.waiting or now < job.not_before or not self._of_wave(job):
+            if job.final is not None or not job.waiting or now < job.not_before or not self._in_current_wave(job):
                 continue
             if not teams.room(job.spec) or (job.shape in seen and not (job.spec.one_zone or job.spec.spread)):
                 continue
@@ -53,26 +53,26 @@
                 return True
         return False
 
-    def _of_wave(self, job: Job) -> bool:
+    def _in_current_wave(self, job: Job) -> bool:
         return self.order.wave_of(job.order[0]) == self.wave
 
 
 def could_start(job: Job, machine: Machine) -> bool:
-    """Whether the machine has room for a task of the job, or could make room if it is production's."""
+    """Whether the machine has room for a task of the job, or a production task could preempt others there."""
     if not machine.allows(job.spec) or not settled(job, machine):
         return False
     return machine.has_room(job.spec) or (job.order[0] == PRODUCTION_RANK and machine.could_clear(job.spec))
 
 
 def may_fetch(machine: Machine, job: Job) -> bool:
-    """Whether a cold machine may begin one more task, as to what it has to fetch.
+    """Whether the limit on concurrent image fetches allows one more task on the machine.
 
-    What a leader knows of its images may be out of date, so each task that was not seen to run may be a fetch. While a
-    production service waits for its image nothing else gets a share of the machine's rate.
+    The leader's view of cached images may be stale, so each claimed task that was not yet reported running counts as a
+    fetch. While a production service waits for its image, no other fetch may take a share of the machine's bandwidth.
     """
     fetching = {
         claim.job.spec.image: claim.job.order[0] for claim in machine.claims.values() if claim.phase != "running"
     }
     if PRODUCTION_RANK in fetching.values() and job.order[0] != PRODUCTION_RANK:
         return False
-    return job.spec.image in fetching or len(fetching) < FETCHES
+    return job.spec.image in fetching or len(fetching) < MAX_CONCURRENT_FETCHES
