--- a/ladderfield/fleet/plan.py
+++ b/ladderfield/fleet/plan.py
@@ -57,10 +57,10 @@
         """Whether the machine can be counted on for new tasks, now or once it is up."""
         detector = self.scheduler.detector
         leaving = machine.deleting or machine.recall_at is not None
-        alone = machine.cannot_report and not detector.most_cannot_report
+        alone = machine.cannot_report and not detector.majority_cannot_report
         faulty = machine.sick or machine.not_hearing_since is not None or alone
-        away = machine.heard_at is not None and detector.away(machine, now)
-        return not (leaving or faulty or away) and bool(machine.kind.cpus)
+        cut_off = machine.heard_at is not None and detector.cut_off(machine, now)
+        return not (leaving or faulty or cut_off) and bool(machine.kind.cpus)
 
     def _services(self, jobs: list[Job], plan: Plan, now: float) -> None:
         """Every waiting replica gets room, if need be in place of lower ranks; and so do those soon to come."""
@@ -68,13 +68,13 @@
         for job in jobs:
             places = Places(job.spec, job.zones)
             self._give(places, job.shape, min(job.waiting, scheduler.teams.room(job.spec)), plan, now, soon=True)
-        for stream, job in scheduler.estimates.latest.items():
+        for stream, job in scheduler.estimates.latest_service.items():
             places = Places(job.spec, None)
             offer = self._best(places, 1, (True, False), now)
             if offer is not None:
                 kind = scheduler.types[offer.type_name]
                 until = kind.boot_s + kind.fetch_s(job.spec.image_gb)
-                coming = until * scheduler.estimates.rate(stream, now) * job.spec.tasks
+                coming = until * scheduler.estimates.arrival_rate(stream, now) * job.spec.tasks
                 self._give(places, job.shape, math.ceil(coming + SPARE * math.sqrt(coming)), plan, now)
 
     def _give(self, places: Places, shape: Shape, need: int, plan: Plan, now: float, soon: bool = False) -> None:
--- a/ladderfield/fleet/returns.py
+++ b/ladderfield/fleet/returns.py
@@ -32,8 +32,8 @@
         live = [one for one in self.scheduler.machines.values() if one.heard_at is not None and not one.deleting]
         excess = sum(one.kind.cpus for one in live) - AMPLE * self._asked_lately(live, now)
         warm = self._warm(live, now)
-        away = {one for one in live if self.scheduler.detector.away(one, now)}  # of ample room these go first
-        order = sorted(live, key=lambda one: (one not in away, one.spot, one in warm, -one.kind.price, one.host))
+        cut_off = {one for one in live if self.scheduler.detector.cut_off(one, now)}  # of ample room these go first
+        order = sorted(live, key=lambda one: (one not in cut_off, one.spot, one in warm, -one.kind.price, one.host))
         result = []
         for machine in order:
             if machine.claims or machine.idle_since is None or machine.host in keep:
@@ -65,7 +65,7 @@
         them would only gather the replicas in a few places, to be lost together.
         """
         estimates = self.scheduler.estimates
-        wanted = {stream[1] for stream in estimates.latest if estimates.rate(stream, now)}
+        wanted = {stream[1] for stream in estimates.latest_service if estimates.arrival_rate(stream, now)}
         slow = SLOW_FETCH * self.scheduler.report_s
 
         def has_slow_image(machine: Machine) -> bool:
--- a/ladderfield/fleet/test_plan.py
+++ b/ladderfield/fleet/test_plan.py
@@ -32,7 +32,7 @@
     launched(full, 2)
     full.submit("req-000002", shape="daemon", rank="production", rungs=1, cores=4.0, loaners=False)
     full.scheduler.estimates.arrivals.clear()
-    full.scheduler.estimates.latest.clear()
+    full.scheduler.estimates.latest_service.clear()
     assert not Planner(full.scheduler).rentals(1.0), "both arrays' tasks would make way"
 
 
--- a/ladderfield/leader/actor.py
+++ b/ladderfield/leader/actor.py
@@ -40,7 +40,7 @@
 )
 from ladderfield.leader.resignation import Resignation
 from ladderfield.leader.scheduler import Scheduler
-from ladderfield.leader.scheduling_pass import OVERDUE
+from ladderfield.leader.scheduling_pass import OVERDUE_REPORT_INTERVALS
 from ladderfield.leader.writer import Writer
 from ladderfield.leadership import EPOCH
 from ladderfield.settings import Settings
@@ -224,7 +224,7 @@
         if judgement is EpochJudgement.NOT_LATER:
             return False
         if judgement is EpochJudgement.INVENTED:
-            self.scheduler.distrust(report.host, report.epoch)
+            self.scheduler.mark_faulty_for_epoch(report.host, report.epoch)
         else:
             self.term.end(f"machine {report.host} has seen epoch {report.epoch}")
         return True
@@ -257,7 +257,7 @@
             self.reachability.workers.asked(machine.zone, True, now)
         if message.report is None or message.report.host != message.host:
             # Only where reports do come straight from it: what is silent, or relayed, is out of our reach anyway.
-            heard = machine.heard_at is not None and now - machine.heard_at <= OVERDUE * self.report_s
+            heard = machine.heard_at is not None and now - machine.heard_at <= OVERDUE_REPORT_INTERVALS * self.report_s
             if heard and not machine.relayed:
                 self.scheduler.sessions.ignored(machine, 1, now)
             return
@@ -272,7 +272,7 @@
     def _on_cancellations_learned(self, message: CancellationsLearned, now: float) -> None:
         for uid in message.uids:
             # Confirmed after what we knew for sure, or we would know it.
-            self.scheduler.cancelled(uid, self.term.known_at, now)
+            self.scheduler.cancellation_reported(uid, self.term.known_at, now)
         self.term.knows(message.known_at)
 
     def _on_no_other_leader(self, message: NoOtherLeader, now: float) -> None:
--- a/ladderfield/leader/dispatcher.py
+++ b/ladderfield/leader/dispatcher.py
@@ -11,7 +11,7 @@
 from ladderfield.http import Client, NoAnswerError
 from ladderfield.leader.messages import Message, OrdersAnswered
 from ladderfield.leader.scheduler import Scheduler
-from ladderfield.leader.scheduling_pass import OVERDUE
+from ladderfield.leader.scheduling_pass import OVERDUE_REPORT_INTERVALS
 from ladderfield.settings import Settings, address
 from ladderfield.term import Term
 from ladderfield.workers.machine import Machine
@@ -66,7 +66,7 @@
         """Whether it is overdue or does not seem to hear us."""
         return (
             machine.not_hearing_since is not None
-            or machine.silent_for(now, self.scheduler.term_from) > OVERDUE * self.report_s
+            or machine.silent_for(now, self.scheduler.term_from) > OVERDUE_REPORT_INTERVALS * self.report_s
         )
 
     def request_due(self, now: float) -> None:
--- a/ladderfield/leader/ledger.py
+++ b/ladderfield/leader/ledger.py
@@ -66,7 +66,7 @@
         are written anew, with changes that nobody waits for.
         """
         scheduler = self.scheduler
-        if not (finished_too or scheduler.unrecorded or scheduler.complete or scheduler.pages.owing):
+        if not (finished_too or scheduler.unrecorded_claims or scheduler.complete_jobs or scheduler.pages.owing):
             return None
         txn = Transaction(self.epoch_stamp, max(1, min(most or self.most, self.most)))
         for page in list(scheduler.pages.owing):
@@ -74,21 +74,21 @@
         if scheduler.pages.owing:
             # What a write that failed had moved here may stand on record only on a page that would be written next.
             return txn if txn.ops else None
-        for job in list(scheduler.complete):
-            if txn.left < 1 or (txn.left < 2 and txn.ops and scheduler.unrecorded):
+        for job in list(scheduler.complete_jobs):
+            if txn.left < 1 or (txn.left < 2 and txn.ops and scheduler.unrecorded_claims):
                 break
             ended = scheduler.term_from if job.ended_at is None else job.ended_at
             self._decide(
                 txn, job, {"phase": DONE, "done": job.spec.tasks, "at": round(ended + scheduler.wall_offset, 3)}
             )
-        ends = {job: job.unsettled for job in scheduler.unsettled if job not in txn.finals}
-        if scheduler.unrecorded or (ends and (finished_too or txn.ops)):
+        ends = {job: job.unsettled for job in scheduler.unrecorded_ends if job not in txn.finals}
+        if scheduler.unrecorded_claims or (ends and (finished_too or txn.ops)):
             self._fill(txn, ends)
         if (
             finished_too
             and txn.left > 0
-            and not scheduler.unrecorded
-            and not scheduler.complete.keys() - txn.finals.keys()
+            and not scheduler.unrecorded_claims
+            and not scheduler.complete_jobs.keys() - txn.finals.keys()
         ):
             self._clear(txn)
         return txn if txn.ops else None
@@ -96,7 +96,7 @@
     def _clear(self, txn: Transaction) -> None:
         """What may wait until there is nothing else to write."""
         scheduler = self.scheduler
-        for job in list(scheduler.orphaned)[: txn.left]:
+        for job in list(scheduler.cancelled_dependents)[: txn.left]:
             # Users are told so already, as it follows from what is on record.
             self._decide(txn, job, {"phase": CANCELLED})
         for record in list(scheduler.clearable_records)[: txn.left]:
@@ -131,13 +131,13 @@
     def _fill(self, txn: Transaction, ends: dict[Job, set[int]]) -> None:
         """Put new claims and ends of tasks on as few pages as they fit."""
         pages = self.scheduler.pages
-        claims = list(self.scheduler.unrecorded)[::-1]  # the last of the list is the oldest
+        claims = list(self.scheduler.unrecorded_claims)[::-1]  # the last of the list is the oldest
         while (claims or ends) and txn.left > 0 and txn.size + pages.most < BYTES:
             page = pages.roomiest(set(txn.pages))
             while claims and page.size + page.cost(claims[-1]) <= pages.most:
                 claim = claims.pop()
                 page.add_claim(claim)
-                del self.scheduler.unrecorded[claim]
+                del self.scheduler.unrecorded_claims[claim]
             for job in list(ends):
                 room = page.room_for(job, pages.most)
                 if room <= 0:
@@ -148,7 +148,7 @@
                 if rest:
                     ends[job] = rest
                 else:
-                    self.scheduler.unsettled.pop(job, None)
+                    self.scheduler.unrecorded_ends.pop(job, None)
             self._write(txn, page)
 
     def _move(self, txn: Transaction) -> None:
@@ -201,7 +201,7 @@
         log.debug(
             "on record: %d claims and %d that go on, on %d pages, %d ends of jobs, %d records cleared; %d claims wait",
             new, sum(len(claims) for claims, _ in txn.pages.values()) - new, len(txn.pages), len(txn.finals),
-            len(txn.deletes), len(scheduler.unrecorded),
+            len(txn.deletes), len(scheduler.unrecorded_claims),
         )  # fmt: skip
         for page, (claims, done) in txn.pages.items():
             page.stamp = ledger
@@ -214,7 +214,7 @@
                 job.unsettled -= tasks
         for job, phase in txn.finals.items():
             log.info("job %s: %s", job.uid, phase)
-            scheduler.decided(job, phase, now)
+            scheduler.final_state_written(job, phase, now)
         for record in txn.ended:
             scheduler.clearable_records.pop(record, None)
         if txn.zones is not None:
@@ -232,8 +232,8 @@
             if stamps.get(FINAL + job.uid):
                 # Cancelled at the last moment, or done by our own earlier copy. Either way it is final, and the view
                 # says which: a guess would cancel, or start, what waits for it.
-                self.scheduler.complete.pop(job, None)
-                self.scheduler.orphaned.pop(job, None)
+                self.scheduler.complete_jobs.pop(job, None)
+                self.scheduler.cancelled_dependents.pop(job, None)
         for record in txn.ended:
             record.stamp = stamps.get(record.key, record.stamp)
             if record.stamp == 0:
@@ -264,10 +264,10 @@
         for page in again_all:
             for claim in [claim for claim in page.claims if not claim.recorded]:
                 page.drop_claim(claim)
-                scheduler.unrecorded[claim] = None
+                scheduler.unrecorded_claims[claim] = None
             for job in list(page.done):
                 again = page.done[job] & job.unsettled
                 page.drop_done(job, again)
                 if again and job.final is None:
-                    scheduler.unsettled[job] = None
+                    scheduler.unrecorded_ends[job] = None
             pages.mark_dirty(page)
--- a/ladderfield/leader/sessions.py
+++ b/ladderfield/leader/sessions.py
@@ -29,7 +29,7 @@
     def machine(self, host: str, endpoint: str, kind: str, zone: str, spot: bool, now: float) -> Machine | None:
         """The machine's entry, made or completed from what a report or the list says; None if it is gone."""
         tables = self.tables
-        if host in tables.gone:
+        if host in tables.deleted_hosts:
             return None
         known: MachineType = tables.types.get(kind, UNKNOWN)
         machine = tables.machines.get(host)
@@ -100,7 +100,7 @@
         if report.recall_s is not None and machine.recall_at is None:
             machine.recall_at = now + report.recall_s
             log.info("machine %s: taken back in %.1f s", machine.host, report.recall_s)
-            self.tables.recalled(machine, now)
+            self.tables.prepare_for_interruption(machine, now)
 
     def _take_tasks(self, machine: Machine, report: Report, accepted: bool, answering: bool, now: float) -> None:
         """Compare the tasks that the report lists with the machine's claims."""
@@ -186,7 +186,7 @@
         log.debug("task %s: attempt %d on %s: %s", task_name(claim.task), claim.attempt, machine.host, rung.cause)
         tables.end(claim, rung.cause == "done", now)
         if rung.cause == "error":
-            tables.failed(claim, machine, now)
+            tables.task_failed(claim, machine, now)
         elif rung.cause in ("no_room", "in_use", "unknown"):
             log.warning("task %s: %s refused it: %s", task_name(claim.task), machine.host, rung.cause)
             job.not_before = now + tables.report_s
@@ -235,7 +235,7 @@
         if attempt is not None:
             if attempt in machine.unanswered_launches and claim.sent_tenure is None:
                 # The old attempt has to stay listed, as it shields against its own late copies.
-                self.tables.avoid(claim.job, machine, now)
+                self.tables.avoid_machine(claim.job, machine, now)
                 self.tables.end(claim, False, now)
             return []
         if claim.sent_tenure is not None and now - claim.sent_at <= RESEND * self.tables.report_s:
--- a/ladderfield/leader/test_pages.py
+++ b/ladderfield/leader/test_pages.py
@@ -64,9 +64,9 @@
         harness.submit(uid, owner="blue", rungs=99_999, cores=0.01, memoryGb=0.0)
     for host in range(10):
         harness.report(f"machine-with-a-long-name-{host}", yard="zb")
-    while harness.scheduler.changed and len(harness.scheduler.unrecorded) < 4000:
+    while harness.scheduler.changed and len(harness.scheduler.unrecorded_claims) < 4000:
         harness.scheduler.schedule(2.0)
-    claims = list(harness.scheduler.unrecorded)
+    claims = list(harness.scheduler.unrecorded_claims)
     harness.record()
     for claim in claims[::2]:
         harness.scheduler.end(claim, True, 3.0)
--- a/ladderfield/test_versions.py
+++ b/ladderfield/test_versions.py
@@ -73,7 +73,7 @@
     harness = SchedulerHarness(old_data(lf_f_req000001=record) | {"lf/f/req-000412": (msgspec.json.decode(record), 6)})
     harness.submit("req-000414", waitsOn=["req-000412"])
     assert bool(harness.scheduler.jobs["req-000414"].waits) == (record is CANCELLED_RECORD)
-    assert bool(harness.scheduler.orphaned) == (record is CANCELLED_RECORD)
+    assert bool(harness.scheduler.cancelled_dependents) == (record is CANCELLED_RECORD)
 
 
 async def test_an_old_epoch_and_an_old_answer_over_back_are_understood(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/ladderfield/workers/test_old_messages.py
+++ b/ladderfield/workers/test_old_messages.py
@@ -174,7 +174,7 @@
     harness = SchedulerHarness({"lf/j/req-000001": (accepted(job(rungs=1)), 4), "lf/p/0": (page, 5)})
     orders = harness.report(rungs=(rung(0, earlier, "exited", cause),), epoch=EPOCH_NOW - 1)
     assert [claim.attempt for claim in harness.machine().claims.values()] == [later]
-    assert not harness.scheduler.complete and all(order["verb"] != "launch" for order in orders)
+    assert not harness.scheduler.complete_jobs and all(order["verb"] != "launch" for order in orders)
     harness.report(rungs=(rung(0, later),))
     assert [claim.phase for claim in harness.machine().claims.values()] == ["running"]
 
--- a/ladderfield/zones/coordinator.py
+++ b/ladderfield/zones/coordinator.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from ladderfield.jobs.model import JobSpec
-from ladderfield.leader.tables import SILENT, LeaderTables
+from ladderfield.leader.tables import SILENCE_REPORT_INTERVALS, LeaderTables
 from ladderfield.queues.pick import Tier
 from ladderfield.queues.work import Claim, Job
 from ladderfield.workers.machine import Machine
@@ -40,7 +40,7 @@
         self.record = ZoneRecord(settings.cluster.state.value_kb, tables.wall_offset)
         self.health_by_zone: dict[str, ZoneHealth] = {}
         self.returns: dict[str, ZoneReturn] = {}
-        self.return_log = ReturnLog(tables.most_kept)
+        self.return_log = ReturnLog(tables.max_remembered)
         self._controllers: dict[str, bool] = {}
         # Zones with a hold or a return that a production job may use; in others batch tasks need not wait.
         self._production_zones: set[str] = set()
@@ -186,7 +186,7 @@
                 yield from [job] * min(job.queued, self.tables.teams.room(job.spec))
 
     def _is_silent(self, machine: Machine, now: float) -> bool:
-        return machine.silent_for(now, self.tables.term_from) > SILENT * self.tables.report_s
+        return machine.silent_for(now, self.tables.term_from) > SILENCE_REPORT_INTERVALS * self.tables.report_s
 
     def order_tiers(self, tiers: list[Tier]) -> list[Tier]:
         """During an evacuation order by priority first, then as usual by guarantee and due time."""
