--- a/ladderfield/leader/__init__.py
+++ b/ladderfield/leader/__init__.py
@@ -1,1 +1,1 @@
-"""The leader: the one controller that holds queues, claims, quota and machines for the time of an epoch."""
+"""The elected leader: it owns the task queues, claims, team quotas and machines for the duration of one term."""
--- a/ladderfield/leader/preemption.py
+++ b/ladderfield/leader/preemption.py
@@ -1,7 +1,7 @@
-"""Clearing room: which running work gives way, for whom, and that the room goes to whom it was cleared for.
+"""Preemption: stops running tasks to free capacity, and reserves that capacity for the job it was freed for.
 
-Two cases allow it: room for a production replica may stop lower ranks; and a team that is owed its guarantee may
-have back what other teams run beyond theirs. Production replicas themselves are never stopped for room.
+Preemption is allowed in two cases: a production replica may preempt tasks of lower rank, and a team below its guarantee
+may reclaim what other teams run beyond theirs. Production replicas themselves are never preempted.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 
 log = logging.getLogger(__name__)
 
-HOLD = 1.0  # of report_s: how long cleared room is kept for the task it was cleared for
-RECLAIM = 1 / 6  # of report_s: how often borrowed room is taken back
-FETCH = 2.0  # a second of a replica's fetch is worth so many seconds of work of lower rank
+CLEARED_ROOM_REPORT_INTERVALS = 1.0  # how long freed capacity stays reserved for its job
+RECLAIM_PERIOD_REPORT_INTERVALS = 1 / 6  # how often borrowed capacity is reclaimed
+FETCH_COST_FACTOR = 2.0  # seconds of lower-rank work that one second of a replica's image fetch is worth
 
 
 class Clearance(NamedTuple):
-    """Room that could be cleared on a machine, and what that would lose."""
+    """The claims to stop on a machine so that a task fits, and the work that would be lost."""
 
     lost_cpu_s: float
     host: str
@@ -32,104 +32,109 @@
 
 
 class Preemption:
-    """Stops work on the leader's tables, and remembers for whom."""
+    """Chooses and stops the tasks to preempt."""
 
     def __init__(self, tables: LeaderTables) -> None:
         self.tables = tables
-        self._hopeless: set[Shape] = set()  # replicas of this shape find nothing to clear in this pass
+        self._unclearable: set[Shape] = set()  # shapes for which this pass found no machine to clear
         self._reclaimed_at = -math.inf
 
     def begin(self, now: float) -> None:
-        """A pass begins."""
-        self._hopeless.clear()
-        # What teams owe each other is gone through once a round of ticks, not with every report.
-        self._reclaims = now - self._reclaimed_at >= RECLAIM * self.tables.report_s
-        if self._reclaims:
+        """Start a scheduling pass."""
+        self._unclearable.clear()
+        # Reclaiming looks at every claim, so it runs once per tick interval and not with every report.
+        self._reclaim_due = now - self._reclaimed_at >= RECLAIM_PERIOD_REPORT_INTERVALS * self.tables.report_s
+        if self._reclaim_due:
             self._reclaimed_at = now
 
-    def may_go_to(self, job: Job, machine: Machine, now: float) -> bool:
-        """A task for which room is being cleared waits for that room (or for a machine with its image)."""
+    def may_place(self, job: Job, machine: Machine, now: float) -> bool:
+        """Whether a task of the job may start on a machine that does not have the job's image.
+
+        Tasks for which capacity is being freed elsewhere wait for it.
+        """
         if not job.held:
             return True
         held = [host for host, until in job.held.items() if until > now]
         return len(held) < job.queued or machine.host in held
 
-    def for_replicas(self, job: Job, machines: Iterable[Machine], now: float) -> None:
-        """Clear room for a production replica that no machine has room and the image for.
+    def clear_for_replicas(self, job: Job, machines: Iterable[Machine], now: float) -> None:
+        """Preempt lower ranks for production replicas that fit no machine that has their image.
 
-        Where a fetch would cost more than the work that is lost, a machine with the image is cleared even though
-        another has room.
+        A machine with the image may be cleared even though another has free capacity, if fetching the image there
+        would cost more than the work that is lost.
         """
-        if not job.queued or job.shape in self._hopeless:
+        if not job.queued or job.shape in self._unclearable:
             return
         rank = job.order[0]
-        could = [machine for machine in machines if machine.could_clear(job.spec) and machine.allows(job.spec)]
-        if could:
-            self._clear(job, could, lambda claim: claim.job.order[0] > rank, FETCH, job.queued, now)
+        candidates = [machine for machine in machines if machine.could_clear(job.spec) and machine.allows(job.spec)]
+        if candidates:
+            self._clear(job, candidates, lambda claim: claim.job.order[0] > rank, FETCH_COST_FACTOR, job.queued, now)
         else:
-            self._hopeless.add(job.shape)
+            self._unclearable.add(job.shape)
 
-    def within_limit(self, job: Job, now: float) -> None:
-        """Have a team's lower ranks give way to its own production replica that the team's limit would keep out."""
+    def preempt_within_team_limit(self, job: Job, now: float) -> None:
+        """Preempt a team's lower ranks for its own production replica that the team's limit would block."""
         teams, spec = self.tables.teams, job.spec
-        over = teams.over_limit(spec)
+        excess_cpus = teams.over_limit(spec)
         own = [
             claim
             for machine in self.tables.machines.values()
             for claim in machine.claims.values()
             if claim.job.spec.team == spec.team and claim.job.order[0] > job.order[0]
         ]
-        over -= sum(claim.job.spec.cpus for claim in own if claim.stopping is not None)
+        excess_cpus -= sum(claim.job.spec.cpus for claim in own if claim.stopping is not None)
         running = [claim for claim in own if claim.stopping is None]
-        for claim in sorted(running, key=lambda one: (-one.job.order[0], now - (one.running_at or now))):
-            if over <= 0:
+        for claim in sorted(running, key=lambda claim: (-claim.job.order[0], now - (claim.running_at or now))):
+            if excess_cpus <= 0:
                 break
-            over -= claim.job.spec.cpus
-            log.info("job %s: task %s gives way within the team's limit", job.uid, task_name(claim.task))
+            excess_cpus -= claim.job.spec.cpus
+            log.info("job %s: preempted task %s within the team's limit", job.uid, task_name(claim.task))
             self.tables.stop(claim, "preempted", now)
 
-    def for_guarantee(self, job: Job, machines: list[Machine], now: float) -> None:
-        """Take back for a team within its guarantee what others borrowed; they keep all of their own guarantee."""
-        if not self._reclaims:
+    def reclaim_guarantee(self, job: Job, machines: list[Machine], now: float) -> None:
+        """Preempt tasks that other teams run beyond their guarantee, for a job within its own team's guarantee."""
+        if not self._reclaim_due:
             return
         teams = self.tables.teams
-        spare = teams.borrowed()
+        borrowed_cpus = teams.borrowed()
         for claim in (claim for machine in machines for claim in machine.claims.values()):
-            if claim.stopping is not None and claim.job.spec.team in spare:
-                spare[claim.job.spec.team] -= claim.job.spec.cpus
+            if claim.stopping is not None and claim.job.spec.team in borrowed_cpus:
+                borrowed_cpus[claim.job.spec.team] -= claim.job.spec.cpus
 
-        def borrowed(claim: Claim) -> bool:
+        def reclaimable(claim: Claim) -> bool:
             spec = claim.job.spec
-            return spec.team != job.spec.team and not spec.service and spare.get(spec.team, 0.0) >= spec.cpus
+            return spec.team != job.spec.team and not spec.service and borrowed_cpus.get(spec.team, 0.0) >= spec.cpus
 
-        for claim in self._clear(job, machines, borrowed, 1.0, min(job.queued, teams.owed(job.spec)), now, once=True):
-            spare[claim.job.spec.team] -= claim.job.spec.cpus
+        for claim in self._clear(
+            job, machines, reclaimable, 1.0, min(job.queued, teams.owed(job.spec)), now, once=True
+        ):
+            borrowed_cpus[claim.job.spec.team] -= claim.job.spec.cpus
 
     def _loss(self, claim: Claim, now: float) -> float:
-        """The seconds that are lost if it has to begin anew; a run more where its job would then miss an aim."""
+        """Seconds of work lost if the task restarts; one more run time if its job would then miss a deadline."""
         ran = now - (claim.running_at or now)
         estimates = self.tables.estimates
-        return ran + (estimates.run_s(claim.job) if estimates.harmed(claim.job, ran, now) else 0.0)
+        return ran + (estimates.run_s(claim.job) if estimates.restart_misses_deadline(claim.job, ran, now) else 0.0)
 
     def _clear(
         self,
         job: Job,
         machines: list[Machine],
-        gives_way: Callable[[Claim], bool],
-        fetch: float,
-        most: int,
+        preemptible: Callable[[Claim], bool],
+        fetch_cost_factor: float,
+        max_tasks: int,
         now: float,
         once: bool = False,
     ) -> list[Claim]:
-        """Clear room for up to so many tasks of a job, where the least is lost; the claims that were stopped."""
+        """Free capacity for up to ``max_tasks`` tasks where the least work is lost; returns the stopped claims."""
         tables, stopped = self.tables, list[Claim]()
-        while most > sum(1 for until in job.held.values() if until > now) and tables.teams.room(job.spec):
-            clearances = (self._clearance(job, machine, gives_way, fetch, now) for machine in machines)
-            best = min((one for one in clearances if one is not None), key=lambda one: one[:2], default=None)
+        while max_tasks > sum(1 for until in job.held.values() if until > now) and tables.teams.room(job.spec):
+            clearances = (self._clearance(job, machine, preemptible, fetch_cost_factor, now) for machine in machines)
+            best = min((found for found in clearances if found is not None), key=lambda found: found[:2], default=None)
             if best is None or not best.claims:
                 break
             self._hold(job, tables.machines[best.host], now)
-            log.info("job %s: %d tasks on %s give way", job.uid, len(best.claims), best.host)
+            log.info("job %s: preempted %d tasks on %s", job.uid, len(best.claims), best.host)
             for claim in best.claims:
                 tables.stop(claim, "preempted", now)
             stopped += best.claims
@@ -138,25 +143,25 @@
         return stopped
 
     def _clearance(
-        self, job: Job, machine: Machine, gives_way: Callable[[Claim], bool], fetch: float, now: float
+        self, job: Job, machine: Machine, preemptible: Callable[[Claim], bool], fetch_cost_factor: float, now: float
     ) -> Clearance | None:
-        """What would have to stop on a machine so that one task of the job fits; None if that can't make room."""
+        """The claims to stop on a machine so that one task of the job fits; None if no choice of claims does."""
         if now < machine.hold_until or not placeable(job, machine) or not self.tables.zones.admits(machine, job):
             return None
-        lower = {
+        losses = {
             claim: self._loss(claim, now)
             for claim in machine.claims.values()
-            if claim.stopping is None and gives_way(claim)
+            if claim.stopping is None and preemptible(claim)
         }
-        chosen = victims(machine, job.spec, lower)
+        chosen = victims(machine, job.spec, losses)
         if chosen is None:
             return None
-        lost = sum(lower[claim] * claim.job.spec.cpus for claim in chosen)
+        lost_cpu_s = sum(losses[claim] * claim.job.spec.cpus for claim in chosen)
         if not locality(job, machine):
-            lost += fetch * machine.kind.fetch_s(job.spec.image_gb) * job.spec.cpus
-        return Clearance(lost, machine.host, chosen)
+            lost_cpu_s += fetch_cost_factor * machine.kind.fetch_s(job.spec.image_gb) * job.spec.cpus
+        return Clearance(lost_cpu_s, machine.host, chosen)
 
     def _hold(self, job: Job, machine: Machine, now: float) -> None:
-        """Keep the cleared room for the job for a while."""
-        job.held[machine.host] = machine.hold_until = now + HOLD * self.tables.report_s
+        """Reserve the freed capacity for the job."""
+        job.held[machine.host] = machine.hold_until = now + CLEARED_ROOM_REPORT_INTERVALS * self.tables.report_s
         machine.hold_rank = job.order[0]
--- a/ladderfield/leader/records.py
+++ b/ladderfield/leader/records.py
@@ -1,4 +1,4 @@
-"""What is on record, taken into the leader's tables: all of it at a takeover, then each change as it comes."""
+"""Applies the records of the state service to the leader's tables: all of them at a takeover, then each change."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from ladderfield.jobs.model import CANCELLED, DONE, FINAL, JOB, PAGE, TYPES, JobSpec, jobs_on, parse_types
 from ladderfield.leader.pages import HOSTS, Page
 from ladderfield.leader.tables import LeaderTables
-from ladderfield.leader.waiting import Waiting
+from ladderfield.leader.waiting import WaitingJobs
 from ladderfield.queues.work import Claim, Job, Record, TaskId
 from ladderfield.settings import Settings
 from ladderfield.view import Change
@@ -23,7 +23,7 @@
 
 
 class RecordedTables(LeaderTables):
-    """The tables, kept in step with the records."""
+    """The leader's tables, kept up to date with the records in the state service."""
 
     def __init__(
         self,
@@ -33,13 +33,13 @@
         wall: float,
         grace_s: float,
         dependencies: DependencyGraph,
-        before: Mapping[str, float] | None = None,
+        earlier_terms: Mapping[str, float] | None = None,
     ) -> None:
-        super().__init__(settings, epoch, now, wall, grace_s, before)
-        self.waiting = Waiting(self, dependencies)
+        super().__init__(settings, epoch, now, wall, grace_s, earlier_terms)
+        self.waiting_jobs = WaitingJobs(self, dependencies)
 
     def load(self, data: dict[str, tuple[Any, int]], now: float) -> None:
-        """Rebuild everything from the state service's keys: a takeover."""
+        """Rebuild the tables from all keys of the state service at a takeover."""
         self.types = parse_types((data.get(TYPES) or (None, 0))[0])
         for key, (value, stamp) in data.items():
             if key.startswith(JOB):
@@ -47,7 +47,7 @@
         self.jobs = dict(sorted(self.jobs.items(), key=lambda pair: pair[1].at))
         for key, (value, _) in data.items():
             if key.startswith(FINAL):
-                self._finalised(key, value, now, loading=True)
+                self._on_final_record(key, value, now, loading=True)
         claims: dict[TaskId, Claim] = {}
         for key, (value, stamp) in data.items():
             if key.startswith(PAGE):
@@ -57,12 +57,12 @@
                 self._inherit(claim, now)
         for job in list(self.jobs.values()):
             job.final_seen = job.final is not None
-            self.see_end(job)
+            self.check_job_end(job)
         zones, zones_stamp = data.get(ZONES_KEY) or (None, 0)
         self.zones.load(zones, zones_stamp, now)
 
     def _load_page(self, page: Page, value: dict[str, Any], claims: dict[TaskId, Claim]) -> None:
-        """Ends of tasks at once; of the claims the latest of each task is gathered."""
+        """Apply a page's finished tasks, and collect the latest claim of each task in ``claims``."""
         hosts = value.get(HOSTS, {})
         for uid, entry in value.items():
             if uid == HOSTS:
@@ -84,7 +84,7 @@
                     self.pages.mark_dirty(page if other.attempt >= attempt else self.pages.of(other) or page)
 
     def _inherit(self, claim: Claim, now: float) -> None:
-        """A claim that an earlier leader left on record binds: guards against a second start after any change."""
+        """Bind a claim that an earlier leader recorded, so that no leader change can start its task twice."""
         page = self.pages.of(claim)
         assert page is not None
         page.add_claim(claim)
@@ -94,95 +94,99 @@
             zone, endpoint, kind, spot = claim.about
             known = self.types.get(kind, UNKNOWN)
             machine = self.machines[claim.host] = Machine(claim.host, endpoint, known, zone, spot, now)
-            self.push(machine)  # it has to hear of our epoch
+            self.push(machine)  # so that it learns of our epoch
         machine.take(claim)
-        # Guards limit and placement across a change of leader: cancelled or not, it may still run there.
+        # Counted even if the job is cancelled: its task may still run, and team limits and placement rules must hold
+        # across leader changes.
         self.teams.add(claim.job.spec)
         if claim.job.final is not None:
             self.stop(claim, "cancelled", now)
 
     def _add_jobs(self, key: str, value: Any, stamp: int, now: float) -> None:
-        """A record of accepted jobs. One that a job has been on twice is known already."""
+        """Add the jobs of a record; a job may already be known from another record or an earlier read of this one."""
         record = Record(key, stamp)
         for uid, entry in jobs_on(key, value).items():
             job = self.jobs.get(uid)
             if job is None:
                 spec = msgspec.convert(entry["spec"], JobSpec)
                 job = self.jobs[uid] = Job(spec, entry["at"] - self.wall_offset, entry["block"])
-                self.estimates.arrived(job)
-                self.waiting.tie(job)
+                self.estimates.job_accepted(job)
+                self.waiting_jobs.add_job(job)
                 self.changed = True
-                if uid in self.cancellations_heard:
-                    self._cancel(job, self.cancellations_heard[uid], now)
-            if all(one.key != key for one in job.records):
+                if uid in self.reported_cancellations:
+                    self._cancel(job, self.reported_cancellations[uid], now)
+            if all(known.key != key for known in job.records):
                 job.records.append(record)
                 record.live.add(uid)
 
-    def _finalised(self, key: str, value: Any, now: float, loading: bool = False) -> None:
+    def _on_final_record(self, key: str, value: Any, now: float, loading: bool = False) -> None:
+        """Apply a job's final record."""
         job = self.jobs.get(key.removeprefix(FINAL))
-        self.cancellations_heard.pop(key.removeprefix(FINAL), None)
+        self.reported_cancellations.pop(key.removeprefix(FINAL), None)
         if not loading:
-            self.waiting.ended(key.removeprefix(FINAL), value["phase"], now)
+            self.waiting_jobs.job_ended(key.removeprefix(FINAL), value["phase"], now)
         if job is None:
             return
-        job.final_seen = not loading  # its claims are yet to be read then
+        job.final_seen = not loading  # while loading, the job's claims have not been read yet
         if job.final is not None:
-            self.see_end(job)
+            self.check_job_end(job)
             return
         if value["phase"] == CANCELLED:
             self._cancel(job, value.get("at", self.wall_offset + self.term_from) - self.wall_offset, now)
             return
         for claim in list(job.claims.values()):
             self.stop(claim, "cancelled", now)
-        self.finalised(job, value["phase"])
+        self.set_final_state(job, value["phase"])
 
     def _cancel(self, job: Job, since: float, now: float) -> None:
+        """Stop all tasks of a job whose cancellation is on record."""
         self.cancelled_at[job.uid] = since
         log.info("job %s: cancelled, stopping %d tasks", job.uid, len(job.claims))
         for claim in list(job.claims.values()):
             self.stop(claim, "cancelled", now)
-        self.finalised(job, CANCELLED)
+        self.set_final_state(job, CANCELLED)
 
-    def cancelled(self, uid: str, since: float, now: float) -> None:
-        """Another controller says that it has put the job's cancellation on record.
+    def cancellation_reported(self, uid: str, since: float, now: float) -> None:
+        """Handle another controller's notice that it has recorded the job's cancellation.
 
-        It counts like the record, and is remembered until that is seen, as the job itself may be on record unseen too.
+        The notice counts like the record. It is kept until the record is seen, as the record of the job itself may not
+        have been seen yet either.
         """
         job = self.jobs.get(uid)
-        if uid in self.cancellations_heard or self.waiting.dependencies.cancelled(uid):
+        if uid in self.reported_cancellations or self.waiting_jobs.dependencies.cancelled(uid):
             return
         if job is not None and job.final is not None:
             return
-        self.cancellations_heard[uid] = since
-        while len(self.cancellations_heard) > self.most_kept:
-            del self.cancellations_heard[next(iter(self.cancellations_heard))]
+        self.reported_cancellations[uid] = since
+        while len(self.reported_cancellations) > self.max_remembered:
+            del self.reported_cancellations[next(iter(self.reported_cancellations))]
         if job is not None:
             self._cancel(job, since, now)
 
-    def decided(self, job: Job, phase: str, now: float) -> None:
-        """Our own write of the job's final state was answered."""
-        self.finalised(job, phase)
-        self.waiting.ended(job.uid, phase, now)
+    def final_state_written(self, job: Job, phase: str, now: float) -> None:
+        """Apply a final state that this leader has written."""
+        self.set_final_state(job, phase)
+        self.waiting_jobs.job_ended(job.uid, phase, now)
 
-    def finalised(self, job: Job, phase: str) -> None:
-        """The job's final state is on record; no task of it starts any more."""
+    def set_final_state(self, job: Job, phase: str) -> None:
+        """Apply a recorded final state: no further task of the job starts."""
         job.final = phase
         self.queues.drop(job, self.machines.values())
-        self.complete.pop(job, None)
-        self.orphaned.pop(job, None)
-        self.unsettled.pop(job, None)
+        self.complete_jobs.pop(job, None)
+        self.cancelled_dependents.pop(job, None)
+        self.unrecorded_ends.pop(job, None)
         self.pages.over(job)
-        self.see_end(job)
+        self.check_job_end(job)
 
     def take_changes(self, changes: Iterable[Change], now: float) -> None:
-        """Changes made by the jobs APIs of all controllers."""
+        """Apply changes of records that the jobs API of any controller has made."""
         changes = [change for change in changes if change.value is not None]
         for change in changes:
-            # First of all, as a batch that was read anew is not in the order of time: an end must find its job.
+            # Jobs come first: a batch from a full read is not in chronological order, and a final record needs its job.
             if change.key.startswith(JOB):
                 self._add_jobs(change.key, change.value, change.stamp, now)
         for change in changes:
             if change.key.startswith(FINAL):
-                self._finalised(change.key, change.value, now)
+                self._on_final_record(change.key, change.value, now)
             elif change.key == TYPES:
                 self.types = parse_types(change.value)
--- a/ladderfield/leader/tables.py
+++ b/ladderfield/leader/tables.py
@@ -1,7 +1,8 @@
-"""The leader's tables, and what becomes of claims on them; no I/O, no clock of its own.
+"""The leader's in-memory state and the life cycle of claims; no I/O, and times are passed in.
 
-The order of things is always the same: a claim is made here, ``ledger`` puts it on record, only then does ``orders``
-hand out the launch; the worker's exit is taken in by ``report``, ``ledger`` records it, only then ``orders`` reaps.
+The order of steps is fixed. A claim is made here and ``ledger`` records it in the state service; only then does
+``Sessions.orders`` send the launch. ``Sessions.report`` processes the task's exit and ``ledger`` records it; only then
+does ``Sessions.orders`` reap the task.
 """
 
 from __future__ import annotations
@@ -24,16 +25,15 @@
 
 log = logging.getLogger(__name__)
 
-SILENT = 2.0  # of report_s: no new work for a machine not heard for so long
-# Ratios to the workers' pace.
-PAUSE = 0.5  # of report_s: the first pause of a job whose task failed; doubles each time
-PAUSE_MOST = 10.0  # of report_s
-AVOID = 20.0  # of report_s: how long a job's tasks go elsewhere, if anywhere else is room, once one failed on a machine
-BLAME = 2  # different jobs that failed on a machine since its last success make it sick
+SILENCE_REPORT_INTERVALS = 2.0  # a machine that has been silent for longer gets no new work
+FIRST_BACKOFF_REPORT_INTERVALS = 0.5  # delay of a job's retry after its first failed task; doubles with each failure
+MAX_BACKOFF_REPORT_INTERVALS = 10.0
+AVOID_MACHINE_REPORT_INTERVALS = 20.0  # how long a job prefers other machines to one on which its task failed
+FAULTY_AFTER_JOBS = 2  # different jobs whose tasks failed on a machine since its last success
 
 
 class LeaderTables:
-    """Jobs, machines, teams and queues of one term, and what is yet to be recorded of them."""
+    """Jobs, machines, teams and queues of one term, and the changes that are not recorded yet."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         now: float,
         wall: float,
         grace_s: float,
-        before: Mapping[str, float] | None = None,
+        earlier_terms: Mapping[str, float] | None = None,
     ) -> None:
         workers = settings.cluster.workers
         self.settings, self.epoch, self.term_from = settings, epoch, now
@@ -50,45 +50,45 @@
         self.wall_offset = wall - now
         self.jobs: dict[str, Job] = {}
         self.machines: dict[str, Machine] = {}
-        self.gone: dict[str, None] = {}  # deleted machines: their late reports count for nothing
+        self.deleted_hosts: dict[str, None] = {}  # their late reports are ignored
         self.teams = Teams(settings.cluster.teams)
         self.queues = Queues()
-        self.most_kept = most_entries(settings)  # of deleted machines, and of cancellations heard of
+        self.max_remembered = most_entries(settings)  # entries of deleted_hosts and of reported_cancellations
         self.types: dict[str, MachineType] = {}
         self.cancelled_at: dict[str, float] = {}
-        self.cancellations_heard: dict[str, float] = {}  # cancellations not seen on record yet, and since when
-        # What is to be recorded: claims, ends of tasks, jobs that are complete, and jobs of which nothing is left.
+        self.reported_cancellations: dict[str, float] = {}  # job -> when, until its record is seen
+        # To be recorded: claims, ends of tasks, jobs that are complete, and records whose jobs are all over.
         self.pages = Pages(settings.cluster.state.value_kb)
-        self.unrecorded: dict[Claim, None] = {}
-        self.unsettled: dict[Job, None] = {}
-        self.complete: dict[Job, None] = {}
-        self.orphaned: dict[Job, None] = {}  # cancelled with a job that they wait for
+        self.unrecorded_claims: dict[Claim, None] = {}
+        self.unrecorded_ends: dict[Job, None] = {}
+        self.complete_jobs: dict[Job, None] = {}
+        self.cancelled_dependents: dict[Job, None] = {}  # cancelled because a job they need is
         self.clearable_records: dict[Record, None] = {}
-        self.changed = True  # something since the last pass could let a task start
+        self.changed = True  # since the last pass, in a way that may let a task start
         self._attempts = 0
         self.estimates = Estimates(settings, self.wall_offset)
-        self.earlier = EarlierLeaders.of(now + grace_s, before or {}, settings.peers, self.wall_offset)
-        self.authority: Callable[[], Authority] = self._unlimited_authority
+        self.earlier = EarlierLeaders.of(now + grace_s, earlier_terms or {}, settings.peers, self.wall_offset)
+        self.authority: Callable[[], Authority] = self._default_authority
         self.zones = ZonePolicy()
         self.push: Callable[[Machine], None] = lambda machine: None
 
-    def _unlimited_authority(self) -> Authority:
-        """What tables without a leader around them may decide: all that earlier leaders leave to them."""
+    def _default_authority(self) -> Authority:
+        """The authority until a ``Leader`` sets its own: limited only by earlier leaders that may still answer."""
         return Authority(epoch=self.epoch, over=False, earlier_until=self.earlier.until)
 
     def usable(self, now: float) -> list[Machine]:
         """Machines that may get new work."""
-        silence = SILENT * self.report_s
-        return [machine for machine in self.machines.values() if machine.usable(now, silence)]
+        max_silence_s = SILENCE_REPORT_INTERVALS * self.report_s
+        return [machine for machine in self.machines.values() if machine.usable(now, max_silence_s)]
 
     def claim(self, job: Job, index: int, machine: Machine, helped: str, now: float) -> Claim:
-        """Bind a task to a machine under a fresh attempt; the epoch in it keeps it fresh for ever."""
+        """Bind a task to a machine under a new attempt number, which is unique as it contains the epoch."""
         self._attempts += 1
         claim = Claim(job, index, (self.epoch << 32) + self._attempts, machine.host, machine.about())
         claim.helped = helped
         self.queues.helped(helped, machine.host, 1)
         job.bind(claim)
-        self.unrecorded[claim] = None
+        self.unrecorded_claims[claim] = None
         machine.take(claim)
         self.zones.on_claim_made(claim, machine)
         self.teams.add(job.spec)
@@ -96,7 +96,7 @@
         return claim
 
     def end(self, claim: Claim, done: bool, now: float) -> None:
-        """The attempt is surely gone: the claim no longer binds."""
+        """Release a claim whose attempt certainly no longer runs and can no longer start."""
         job = claim.job
         machine = self.machines[claim.host]
         machine.free(claim, now)
@@ -106,7 +106,7 @@
         if claim.share is not None:
             claim.share.held -= job.spec.cpus
         job.release(claim)
-        self.unrecorded.pop(claim, None)
+        self.unrecorded_claims.pop(claim, None)
         self.pages.ended(claim, done)
         self.teams.add(job.spec, -1)
         self.changed = True
@@ -115,15 +115,15 @@
             job.unsettled.add(claim.index)
             job.ended_at = now
             if job.final is None:
-                self.unsettled[job] = None
+                self.unrecorded_ends[job] = None
         elif job.final is None:
             self.queues.put_back(job, claim.index)
-        self.see_end(job)
+        self.check_job_end(job)
 
-    def stop(self, claim: Claim, why: str, now: float) -> None:
-        """Have a claim's task stopped; one whose launch never went out ends here."""
+    def stop(self, claim: Claim, reason: str, now: float) -> None:
+        """Request that a claim's task is stopped; a claim without an outstanding launch ends at once."""
         if claim.stopping is None:
-            claim.stopping = why
+            claim.stopping = reason
             machine = self.machines[claim.host]
             if self.unsent(claim, machine):
                 self.end(claim, False, now)
@@ -132,17 +132,17 @@
 
     @staticmethod
     def unsent(claim: Claim, machine: Machine) -> bool:
-        """Whether no launch of it is out anywhere, so that it can end here and now."""
+        """Whether no launch of the claim is outstanding anywhere, so that the claim can end at once."""
         return claim.sent_tenure is None and not claim.inherited and claim.attempt not in machine.unanswered_launches
 
-    def see_end(self, job: Job) -> None:
-        """Notice that a job is complete, or that nothing is left of one that is over."""
+    def check_job_end(self, job: Job) -> None:
+        """Note a job that has become complete, and remove a finished or cancelled one that has left all machines."""
         if job.final is None:
             if job.complete:
-                self.complete[job] = None
+                self.complete_jobs[job] = None
         elif job.final_seen and not job.claims and self.jobs.pop(job.uid, None) is not None:
-            # While anything of it may run it has to be known, and known to be cancelled; and another record that names
-            # it can't come any more.
+            # Only now: a job must stay known, and known to be cancelled, while any task of it may run. No other record
+            # that names it can appear once the view has shown its final state.
             log.info("job %s: %s and off all machines", job.uid, job.final)
             self.cancelled_at.pop(job.uid, None)
             for record in job.records:
@@ -150,41 +150,49 @@
                 if not record.live:
                     self.clearable_records[record] = None
 
-    def avoid(self, job: Job, machine: Machine, now: float) -> None:
-        """Other machines are tried first. Not for ever: it may be the only one that fits."""
-        job.failed_hosts[machine.host] = now + AVOID * self.report_s
+    def avoid_machine(self, job: Job, machine: Machine, now: float) -> None:
+        """Prefer other machines for the job, for a limited time: this may be the only machine that fits."""
+        job.failed_hosts[machine.host] = now + AVOID_MACHINE_REPORT_INTERVALS * self.report_s
 
-    def failed(self, claim: Claim, machine: Machine, now: float) -> None:
-        """A task ended in error: retried elsewhere after a pause; who is to blame shows with the next failures."""
+    def task_failed(self, claim: Claim, machine: Machine, now: float) -> None:
+        """Handle a task that exited with an error: it is retried elsewhere after a backoff.
+
+        Whether the job or the machine is at fault shows with further failures.
+        """
         job = claim.job
         job.errors += 1
-        self.avoid(job, machine, now)
+        self.avoid_machine(job, machine, now)
         if len(job.failed_hosts) >= len(self.usable(now)):
             job.failed_hosts = {machine.host: job.failed_hosts[machine.host]}
-        job.not_before = now + min(PAUSE_MOST, PAUSE * 2 ** min(job.errors - 1, 10)) * self.report_s
+        job.not_before = (
+            now
+            + min(MAX_BACKOFF_REPORT_INTERVALS, FIRST_BACKOFF_REPORT_INTERVALS * 2 ** min(job.errors - 1, 10))
+            * self.report_s
+        )
         # A job that failed on several machines without a success is itself the likely cause.
-        if len(job.failed_hosts) <= BLAME or job.done:
+        # Its failures then don't count against the machine.
+        if len(job.failed_hosts) <= FAULTY_AFTER_JOBS or job.done:
             machine.blamed.add(job.uid)
-        if len(machine.blamed) >= BLAME and not machine.sick:
-            log.warning("machine %s: sick, tasks of %d jobs failed there", machine.host, len(machine.blamed))
+        if len(machine.blamed) >= FAULTY_AFTER_JOBS and not machine.sick:
+            log.warning("machine %s: faulty, tasks of %d jobs failed there", machine.host, len(machine.blamed))
             machine.sick = True
             self.queues.withdraw(machine)
 
-    def distrust(self, host: str, epoch: int) -> None:
-        """The machine shows an epoch that no leader gave: it has to go."""
+    def mark_faulty_for_epoch(self, host: str, epoch: int) -> None:
+        """Mark a machine as faulty that reports an epoch which no leader can have assigned."""
         machine = self.machines.get(host)
         if machine is not None and not machine.sick:
-            log.warning("machine %s: shows epoch %d, which nobody gave", host, epoch)
+            log.warning("machine %s: faulty, reports epoch %d, which no leader assigned", host, epoch)
             machine.sick = True
             self.queues.withdraw(machine)
 
-    def recalled(self, machine: Machine, now: float) -> None:
-        """The cloud takes the machine back: nothing new for it, and what can't finish in time starts elsewhere."""
+    def prepare_for_interruption(self, machine: Machine, now: float) -> None:
+        """Handle a spot interruption notice: stop new work there, and restart elsewhere what can't finish in time."""
         self.queues.withdraw(machine)
         self.changed = True
-        left = (machine.recall_at or now) - now
+        remaining_s = (machine.recall_at or now) - now
         for claim in list(machine.claims.values()):
             spec = claim.job.spec
             ran = now - (claim.running_at if claim.running_at is not None else now)
-            if spec.service or spec.checkpoint_s or self.estimates.run_s(claim.job) - ran > left:
-                self.stop(claim, "the machine leaves", now)
+            if spec.service or spec.checkpoint_s or self.estimates.run_s(claim.job) - ran > remaining_s:
+                self.stop(claim, "spot interruption", now)
--- a/ladderfield/leader/test_failure_detector.py
+++ b/ladderfield/leader/test_failure_detector.py
@@ -1,4 +1,4 @@
-"""How long machines that are silent keep their claims."""
+"""When silent machines lose their claims and are deleted."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 from ladderfield.testing.leader import SchedulerHarness, inherited, launched, rung
 
 
-def test_a_silent_machines_claims_outlast_any_earlier_leaders_answers() -> None:
+def test_claims_of_a_silent_machine_last_until_earlier_leaders_answers_expire() -> None:
     harness = SchedulerHarness(inherited())
-    over = (36.0 + 12.0) * CLOCKS
-    harness.scheduler.sweep(over - 0.1)
+    expires_at = (36.0 + 12.0) * CLOCKS
+    harness.scheduler.sweep(expires_at - 0.1)
     assert harness.machine().claims
-    harness.scheduler.sweep(over + 0.1)
+    harness.scheduler.sweep(expires_at + 0.1)
     assert not harness.machine().claims
 
 
-def test_the_wait_for_earlier_leaders_ends_when_all_others_say_they_follow() -> None:
+def test_the_wait_for_earlier_leaders_ends_when_all_others_are_followers() -> None:
     harness = SchedulerHarness(inherited())
     harness.scheduler.earlier.none_left(harness.scheduler.epoch, 3.0)
     harness.scheduler.sweep(3.0 + 12.0)
-    assert harness.machine().claims, "but the lease itself may have been renewed until then"
+    assert harness.machine().claims, "an earlier leader may have renewed the lease until then"
     harness.scheduler.sweep(3.0 + 12.0 * CLOCKS + 0.01)
     assert not harness.machine().claims
 
 
-def test_a_lease_is_counted_from_our_last_answer() -> None:
+def test_a_lease_runs_from_our_last_answer() -> None:
     harness = SchedulerHarness()
     launched(harness, 1)
     harness.report(now=5.0, rungs=(rung(0, harness.machine().claims["req-000001", 0].attempt),))
@@ -35,21 +35,21 @@
     assert not harness.machine().claims
 
 
-def test_machines_that_fall_silent_together_get_longer() -> None:
+def test_machines_that_go_silent_together_get_a_longer_timeout() -> None:
     harness = SchedulerHarness()
     for host in ("a", "b", "c"):
         harness.report(host, now=1.0)
     harness.report("c", now=7.0)
-    assert harness.scheduler.sweep(7.5) == [], "two of three: a cut"
-    alone = SchedulerHarness()
+    assert harness.scheduler.sweep(7.5) == [], "two of three machines: a partition"
+    single = SchedulerHarness()
     for host in ("a", "b", "c"):
-        alone.report(host, now=1.0)
+        single.report(host, now=1.0)
     for host in ("b", "c"):
-        alone.report(host, now=7.0)
-    assert alone.scheduler.sweep(7.5) == ["a"]
+        single.report(host, now=7.0)
+    assert single.scheduler.sweep(7.5) == ["a"]
 
 
-def test_no_machine_is_given_up_for_a_silence_that_our_own_cut_explains() -> None:
+def test_no_machine_is_declared_lost_for_a_silence_that_our_own_partition_explains() -> None:
     harness = SchedulerHarness()
     for host in ("a", "b", "c"):
         harness.report(host, now=1.0)
@@ -57,4 +57,4 @@
         harness.report(host, now=7.0)
     harness.scheduler.authority = lambda: Authority(over=False, silence_counts_from=8.0)
     assert harness.scheduler.sweep(7.5) == []
-    assert harness.scheduler.sweep(8.0) == ["a"], "for a bounded time"
+    assert harness.scheduler.sweep(8.0) == ["a"], "the machine is kept for a bounded time only"
--- a/ladderfield/leader/test_large_fleet.py
+++ b/ladderfield/leader/test_large_fleet.py
@@ -1,4 +1,4 @@
-"""4,000 machines: start, work, a takeover at which all report at once, and a zone that is lost."""
+"""A fleet of 4,000 machines: a takeover at which all of them report at once, a lost zone, and table bounds."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 SERVICES, ARRAYS, TASKS = 40, 20, 100
 
 
-async def test_start_work_takeover_and_a_lost_zone() -> None:
+async def test_a_large_fleet_keeps_all_tasks_running_through_a_takeover_and_a_lost_zone() -> None:
     fleet = ScriptedFleet(MACHINES)
     fleet.report_all()
     for number in range(SERVICES):
@@ -35,22 +35,22 @@
     assert sum(len(machine.claims) for machine in fleet.leader.scheduler.machines.values()) == all_tasks
     fleet.report_all()
     fleet.pass_time(4.0)
-    assert len(fleet.running()) == all_tasks, "a takeover stops and starts nothing"
+    assert len(fleet.running()) == all_tasks, "a takeover neither stops nor starts a task"
     fleet.cut("zc")
     fleet.pass_time(6.0)
-    assert fleet.leader.scheduler.detector.cut == {"zc"}
+    assert fleet.leader.scheduler.detector.cut_zones == {"zc"}
     fleet.pass_time(LEASE_S + 10.0)
-    assert len(fleet.running()) == all_tasks, "all that the zone had runs elsewhere"
+    assert len(fleet.running()) == all_tasks, "all tasks of the lost zone run elsewhere"
 
 
-async def test_every_connection_may_bring_a_report_at_once() -> None:
+async def test_the_inbox_holds_a_report_of_every_connection() -> None:
     own = fleet_settings(MACHINES)
     sockets = own.cluster.quota.max_connections
     assert int(sockets * USERS_SHARE) >= MACHINES
     assert ScriptedFleet(MACHINES).leader.inbox_size >= sockets
 
 
-async def test_a_controller_remembers_the_way_round_of_every_worker() -> None:
+async def test_a_controller_remembers_the_relay_of_every_worker() -> None:
     own = fleet_settings(MACHINES)
     client = StateClient(own)
     handler = ReportHandler(own, Leadership(own, client, View(client, own)), {})
@@ -58,10 +58,12 @@
     workers = [ScriptedWorker(f"i-{number:06d}", "za") for number in range(2 * MACHINES)]
     reports = [msgspec.structs.replace(worker.report(), epoch=1) for worker in workers]
     assert all(handler._relay_for(report, link, 1.0) is None for report in reports)
-    assert all(handler._relay_for(report, link, 2.0) is not None for report in reports), "each came back"
+    assert all(handler._relay_for(report, link, 2.0) is not None for report in reports), (
+        "each worker has come back from the leader"
+    )
 
 
-async def test_deleted_machines_and_cancellations_of_a_whole_fleet_are_remembered() -> None:
+async def test_deleted_machines_and_cancellations_of_a_large_fleet_are_remembered() -> None:
     fleet = ScriptedFleet(MACHINES)
     scheduler = fleet.leader.scheduler
     for worker in fleet.workers:
@@ -69,13 +71,13 @@
     for number in range(MACHINES, 2 * MACHINES):
         scheduler.forget(f"i-{number:06d}", 1.0)
     fleet.report_all()
-    assert not scheduler.machines, "a late report of any of them counts for nothing"
+    assert not scheduler.machines, "late reports of deleted machines are ignored"
     for number in range(2 * MACHINES):
-        scheduler.cancelled(f"req-{number:06}", 1.0, 1.0)
-    assert len(scheduler.cancellations_heard) == 2 * MACHINES
+        scheduler.cancellation_reported(f"req-{number:06}", 1.0, 1.0)
+    assert len(scheduler.reported_cancellations) == 2 * MACHINES
 
 
-async def test_lists_of_a_large_fleet_leave_the_cloud_free_for_rentals(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_listing_a_large_fleet_leaves_cloud_calls_for_rentals(monkeypatch: pytest.MonkeyPatch) -> None:
     own = fleet_settings(MACHINES)
     cloud = Cloud(own)
     calls = 0
--- a/ladderfield/leader/test_placement.py
+++ b/ladderfield/leader/test_placement.py
@@ -1,4 +1,7 @@
-"""Placement and limits while machines are lost, leaders change and jobs are cancelled: what may still run counts."""
+"""Placement rules and team limits while machines are lost, leaders change and jobs are cancelled.
+
+Every task that may still run counts.
+"""
 
 from __future__ import annotations
 
@@ -10,14 +13,14 @@
 from ladderfield.testing import accepted, job
 from ladderfield.testing.leader import EPOCH_NOW, SchedulerHarness, launched, rung
 
-LEASE = 12.0 * CLOCKS
-GRACE = 36.0  # how long an earlier leader may answer
+LEASE_S = 12.0 * CLOCKS
+GRACE_S = 36.0  # how long an earlier leader may answer reports
 
 
-def left(*jobs: tuple[dict[str, Any], str], cancelled: bool = False) -> SchedulerHarness:
-    """What an earlier leader left.
+def inherited_harness(*jobs: tuple[dict[str, Any], str], cancelled: bool = False) -> SchedulerHarness:
+    """A scheduler that took over claims of an earlier leader.
 
-    Of each job so many first tasks are claimed, each on a machine of its own, whose zone the text names (``a`` is za).
+    Each job comes with a string of zone letters (``a`` is za): each letter is one claim, on a machine of its own there.
     """
     data: dict[str, Any] = {}
     for number, (changes, zones) in enumerate(jobs):
@@ -31,20 +34,20 @@
     return SchedulerHarness(data)
 
 
-def placed(harness: SchedulerHarness, since: float, until: float, without: str = "") -> str:
-    """Machines with room report in both zones, every second; where claims of ours stand in the end."""
+def zones_after(harness: SchedulerHarness, since: float, until: float, without: str = "") -> str:
+    """Let machines with free capacity report every second in both zones; returns the zones of the claims made here."""
     now = since
     while now <= until:
         for host in ("a1", "a2", "a3", "a4", "b1", "b2", "b3", "b4"):
             if host != without:
                 known = harness.scheduler.machines.get(host)
-                claims = [one for one in known.claims.values() if one.recorded] if known else []
-                rungs = tuple(rung(one.index, one.attempt, uid=one.job.uid) for one in claims)
+                claims = [claim for claim in known.claims.values() if claim.recorded] if known else []
+                rungs = tuple(rung(claim.index, claim.attempt, uid=claim.job.uid) for claim in claims)
                 harness.report(host, rungs, now=now, yard="z" + host[0])
         harness.scheduler.sweep(now)
         harness.scheduler.schedule(now)
         now += 1.0
-    claims = [claim for one in harness.scheduler.jobs.values() for claim in one.claims.values()]
+    claims = [claim for owner in harness.scheduler.jobs.values() for claim in owner.claims.values()]
     return "".join(sorted(claim.zone[1] for claim in claims if claim.attempt >> 32 == EPOCH_NOW))
 
 
@@ -60,82 +63,84 @@
         ({"yard": "zb", "rungs": 2}, "bb", "", "bb"),
     ],
 )
-def test_tasks_that_a_successor_can_not_ask_about_count_for_placement(
+def test_inherited_claims_of_silent_machines_count_for_placement(
     changes: dict[str, Any], silent: str, before: str, after: str | None
 ) -> None:
-    """In their zone they may still run, for as long as an earlier leader may have renewed their lease."""
-    harness = left(({"owner": "blue", **changes}, silent))
-    assert placed(harness, 1.0, 2.0) == before
-    assert placed(harness, 3.0, GRACE + LEASE - 1.0) == before
-    whole = placed(harness, GRACE + LEASE, GRACE + LEASE + 2.0)
-    assert len(whole) == changes["rungs"]
-    assert after is None or whole == after
+    """Their tasks may run for as long as an earlier leader may have renewed the lease of their machines."""
+    harness = inherited_harness(({"owner": "blue", **changes}, silent))
+    assert zones_after(harness, 1.0, 2.0) == before
+    assert zones_after(harness, 3.0, GRACE_S + LEASE_S - 1.0) == before
+    complete = zones_after(harness, GRACE_S + LEASE_S, GRACE_S + LEASE_S + 2.0)
+    assert len(complete) == changes["rungs"]
+    assert after is None or complete == after
     if "oneZone" in changes:
-        assert len(set(whole)) == 1
+        assert len(set(complete)) == 1
     if "spread" in changes:
-        assert max(whole.count(zone) for zone in "ab") <= (changes["rungs"] + 1) // 2
+        assert max(complete.count(zone) for zone in "ab") <= (changes["rungs"] + 1) // 2
 
 
 @pytest.mark.parametrize("how", ["deleted", "silent", "new session"])
 @pytest.mark.parametrize("placement", ["oneZone", "spread", "yard"])
-def test_lost_tasks_are_replaced_where_the_others_allow_it(placement: str, how: str) -> None:
+def test_lost_tasks_are_replaced_in_a_zone_that_the_placement_rule_allows(placement: str, how: str) -> None:
     harness = SchedulerHarness()
     where: dict[str, Any] = {placement: "zb" if placement == "yard" else True}
     harness.submit(owner="blue", rungs=3, cores=4.0, **where)
-    zones = placed(harness, 1.0, 2.0)
+    zones = zones_after(harness, 1.0, 2.0)
     harness.record()
     claims = harness.scheduler.jobs["req-000001"].claims
     lost = harness.machine(claims[0].host)
-    placed(harness, 3.0, 3.0)
+    zones_after(harness, 3.0, 3.0)
     if how == "deleted":
         harness.scheduler.forget(lost.host, 3.5)
-        assert len(placed(harness, 4.0, 5.0, lost.host)) == 3
+        assert len(zones_after(harness, 4.0, 5.0, lost.host)) == 3
     elif how == "silent":
-        assert placed(harness, 4.0, 3.0 + LEASE - 0.5, lost.host) == zones and claims[0].host == lost.host
-        placed(harness, 3.0 + LEASE, 5.0 + LEASE, lost.host)
+        assert zones_after(harness, 4.0, 3.0 + LEASE_S - 0.5, lost.host) == zones and claims[0].host == lost.host
+        zones_after(harness, 3.0 + LEASE_S, 5.0 + LEASE_S, lost.host)
     else:
         harness.report(lost.host, tenure=2, now=3.5, yard=lost.zone)
-    again = "".join(sorted(claim.zone[1] for claim in claims.values()))
-    assert len(again) == 3 and len(set(again)) == (2 if placement == "spread" else 1)
+    zones_then = "".join(sorted(claim.zone[1] for claim in claims.values()))
+    assert len(zones_then) == 3 and len(set(zones_then)) == (2 if placement == "spread" else 1)
     assert how == "new session" or claims[0].host != lost.host
-    assert placement == "spread" or again == zones
+    assert placement == "spread" or zones_then == zones
 
 
-@pytest.mark.parametrize("how", ["deleted", "lease", "told"])
+@pytest.mark.parametrize("how", ["deleted", "lease expired", "reported without tasks"])
 @pytest.mark.parametrize("cancelled", [False, True])
-def test_a_team_at_its_limit_stays_there_until_what_it_left_is_surely_gone(cancelled: bool, how: str) -> None:
-    """Its machines can't be asked when the leader changes; cancelled or not, its tasks may still run."""
-    harness = left(({"rungs": 2}, "ab"), ({"rungs": 2}, "ab"), cancelled=cancelled)
+def test_a_team_at_its_limit_gets_no_claims_until_its_inherited_claims_end(cancelled: bool, how: str) -> None:
+    """After a leader change its machines are silent, and its tasks may still run whether they are cancelled or not."""
+    harness = inherited_harness(({"rungs": 2}, "ab"), ({"rungs": 2}, "ab"), cancelled=cancelled)
     assert harness.scheduler.teams.cpus["red"] == 16.0
     harness.submit("req-000009", rungs=4, cores=4.0)
-    assert placed(harness, 1.0, 25.0) == ""
+    assert zones_after(harness, 1.0, 25.0) == ""
     lost = [f"req-00000{number}-{index}" for number in (1, 2) for index in (0, 1)]
-    if how == "lease":
-        assert placed(harness, 26.0, GRACE + LEASE - 1.0) == ""
+    if how == "lease expired":
+        assert zones_after(harness, 26.0, GRACE_S + LEASE_S - 1.0) == ""
         lost = lost[:1]
-    now = 26.0 if how != "lease" else GRACE + LEASE
+    now = 26.0 if how != "lease expired" else GRACE_S + LEASE_S
     for count, host in enumerate(lost, 1):
         if how == "deleted":
             harness.scheduler.forget(host, now)
-        elif how == "told":
+        elif how == "reported without tasks":
             zone, (claim,) = harness.machine(host).zone, harness.machine(host).claims.values()
             harness.report(host, now=now, epoch=EPOCH_NOW - 1, yard=zone)
-            assert claim in harness.machine(host).claims.values(), "it has not taken our epoch: an order may still come"
+            assert claim in harness.machine(host).claims.values(), (
+                "an earlier leader's order may still arrive before the machine accepts our epoch"
+            )
             harness.report(host, now=now, yard=zone)
-        ours = placed(harness, now, now + 1.0)
+        new_zones = zones_after(harness, now, now + 1.0)
         now += 2.0
         assert harness.scheduler.teams.cpus["red"] <= 16.0
         if cancelled and how == "deleted":
-            assert len(ours) == count
-    placed(harness, now, now)
+            assert len(new_zones) == count
+    zones_after(harness, now, now)
     assert harness.scheduler.teams.cpus["red"] == 16.0
     assert not cancelled or len(harness.scheduler.jobs["req-000009"].claims) == 4
 
 
-@pytest.mark.parametrize("out", ["running", "launch under way"])
-def test_what_is_cancelled_on_a_machine_that_hangs_counts_until_it_is_gone(out: str) -> None:
+@pytest.mark.parametrize("task_state", ["running", "launch outstanding"])
+def test_a_cancelled_task_on_a_hung_machine_counts_until_the_machine_is_deleted(task_state: str) -> None:
     harness = SchedulerHarness()
-    if out == "running":
+    if task_state == "running":
         attempt = launched(harness, 1, cores=4.0, oneZone=True)
         harness.report(rungs=(rung(0, attempt),), now=2.0)
     else:
@@ -145,8 +150,8 @@
         assert harness.scheduler.sessions.orders(harness.machine(), 2.0, None)
     harness.tell(phase="cancelled")
     harness.submit("req-000002", rungs=4, cores=4.0)
-    placed(harness, 3.0, 12.0)
+    zones_after(harness, 3.0, 12.0)
     assert harness.scheduler.teams.cpus["red"] == 16.0 and len(harness.scheduler.jobs["req-000002"].claims) == 3
     harness.scheduler.forget("m", 12.5)
-    placed(harness, 13.0, 14.0)
+    zones_after(harness, 13.0, 14.0)
     assert harness.scheduler.teams.cpus["red"] == 16.0 and len(harness.scheduler.jobs["req-000002"].claims) == 4
--- a/ladderfield/leader/test_scheduler.py
+++ b/ladderfield/leader/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The leader's decisions one by one: what is claimed, and which machines get it."""
+"""Scheduling decisions: which tasks are claimed, and on which machines."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from ladderfield.workers.report import Report
 
 
-def test_a_claim_that_ends_before_its_block_is_open_is_queued_once() -> None:
-    """daftar-niaga, troubles: released by the first report after a takeover, the task was dealt twice and ran twice."""
+def test_a_claim_that_ends_before_its_block_is_opened_is_queued_once() -> None:
+    """A claim released by the first report after a takeover had its task queued twice, so that it ran twice."""
     harness = SchedulerHarness(inherited())
     report = {
         "host": "m", "endpoint": "10.9.0.1:90", "flavour": "m4", "yard": "za", "loaners": False,
@@ -27,7 +27,7 @@
     assert harness.scheduler.jobs["req-000001"].queued == 0
 
 
-def test_a_queued_task_with_a_claim_is_not_claimed_again() -> None:
+def test_a_claimed_task_that_is_still_queued_is_not_claimed_again() -> None:
     harness = SchedulerHarness()
     launched(harness, 1, cores=4.0)
     harness.scheduler.jobs["req-000001"].undealt.append(0)
@@ -35,7 +35,7 @@
     assert not harness.machine("other").claims and len(harness.machine("m").claims) == 1
 
 
-def test_quota_counts_claims_and_holds_within_one_pass() -> None:
+def test_the_team_limit_holds_within_one_pass() -> None:
     harness = SchedulerHarness()
     for host in range(12):
         harness.report(f"m{host}")
@@ -46,30 +46,30 @@
     assert harness.scheduler.teams.cpus["red"] == 16.0
 
 
-def test_a_machine_of_unknown_type_gets_nothing_and_harms_nothing() -> None:
+def test_a_machine_of_unknown_type_gets_no_tasks() -> None:
     harness = SchedulerHarness()
     harness.submit(cores=0.0, memoryGb=0.0, rank="production", shape="daemon", rungs=1)
     harness.report(flavour="m99")
     assert not harness.machine().claims
 
 
-def test_replicas_get_room_from_lower_ranks_only() -> None:
+def test_production_replicas_preempt_only_lower_ranks() -> None:
     harness = SchedulerHarness()
     attempt = launched(harness, 2)
     harness.report(rungs=(rung(0, attempt), rung(1, attempt + 1)), now=2.0)
     harness.submit("req-000002", rank="production", shape="daemon", cores=4.0, rungs=1)
     harness.scheduler.schedule(3.0)
     assert {claim.stopping for claim in harness.machine().claims.values()} == {"preempted"}
-    calm = SchedulerHarness()
-    attempt = launched(calm, 2, rank="production")
-    calm.report(rungs=(rung(0, attempt), rung(1, attempt + 1)), now=2.0)
-    calm.submit("req-000002", rank="production", shape="daemon", cores=4.0, rungs=1)
-    calm.scheduler.schedule(3.0)
-    assert {claim.stopping for claim in calm.machine().claims.values()} == {None}
+    production = SchedulerHarness()
+    attempt = launched(production, 2, rank="production")
+    production.report(rungs=(rung(0, attempt), rung(1, attempt + 1)), now=2.0)
+    production.submit("req-000002", rank="production", shape="daemon", cores=4.0, rungs=1)
+    production.scheduler.schedule(3.0)
+    assert {claim.stopping for claim in production.machine().claims.values()} == {None}
 
 
-def test_a_replica_is_not_kept_out_by_its_own_teams_batch_work() -> None:
-    """Incident inc-a991: a team's array tasks filled its limit, and its lookup service waited for 100 s."""
+def test_a_replica_preempts_its_own_teams_batch_tasks_at_the_team_limit() -> None:
+    """Incident inc-a991: a team's array tasks filled its limit, and its own service waited 100 s for a machine."""
     harness = SchedulerHarness()
     for host in range(6):
         harness.report(f"m{host}")
@@ -85,17 +85,17 @@
     assert harness.scheduler.teams.cpus["red"] == 16.0
 
 
-def test_no_replica_goes_where_a_report_is_missing() -> None:
-    """Hunt day 937d-5: room was cleared on machines that were just being cut off."""
+def test_no_replica_is_placed_on_a_machine_with_an_overdue_report() -> None:
+    """Tasks were preempted for replicas on machines that were just being cut off from the leader."""
     harness = SchedulerHarness()
-    harness.report("late", now=10.0)
-    harness.report("prompt", now=13.0)
+    harness.report("overdue", now=10.0)
+    harness.report("on-time", now=13.0)
     harness.submit(rank="production", shape="daemon", cores=4.0, rungs=2)
     harness.scheduler.schedule(13.5)
-    assert not harness.machine("late").claims and len(harness.machine("prompt").claims) == 1
+    assert not harness.machine("overdue").claims and len(harness.machine("on-time").claims) == 1
 
 
-def test_a_guarantee_takes_back_what_was_borrowed_after_a_wait() -> None:
+def test_a_team_reclaims_its_guarantee_after_a_wait() -> None:
     harness = SchedulerHarness()
     harness.submit("req-000002", owner="blue", rungs=2)
     harness.report()
@@ -109,29 +109,29 @@
     assert [claim.job.spec.team for claim in harness.machine().claims.values() if claim.stopping] == ["blue"]
 
 
-def test_a_large_job_is_opened_block_by_block_and_fits_the_limits() -> None:
+def test_a_large_job_is_opened_block_by_block_and_its_pages_fit_the_limit() -> None:
     harness = SchedulerHarness()
     harness.submit(rungs=100_000, owner="blue")
     for host in range(40):
         harness.report(f"m{host}")
     harness.scheduler.schedule(2.0)
-    assert harness.scheduler.jobs["req-000001"].next_block <= 2, "no more than there is use for"
+    assert harness.scheduler.jobs["req-000001"].next_block <= 2, "no more blocks than the machines can use"
     harness.record()
     assert len(harness.scheduler.pages.pages) == 1
     for page in harness.scheduler.pages.pages:
         assert encoded_size(page) < 16 * 1024
 
 
-def test_a_leader_that_stood_still_does_no_harm() -> None:
-    """Incident inc-5681: a process woke up after its successor's term had begun, and saw all leases over."""
+def test_a_leader_that_was_suspended_decides_and_records_nothing() -> None:
+    """Incident inc-5681: a suspended process resumed in its successor's term, and took all leases for expired."""
     term = Term(EPOCH_NOW, 3, 1, renewed_at=100.0, ttl=2.0, grace=17.0, known_at=100.0)
     for decision in (Decision.CLAIM, Decision.LAUNCH, Decision.RENT, Decision.DELETE):
         assert term.authority().allows(decision, 101.9)
         assert not term.authority().allows(decision, 132.0), (
-            "it starts, rents and deletes nothing before it has renewed its lease"
+            "nothing is started, rented or deleted before the lease is renewed"
         )
     harness = SchedulerHarness()
     launched(harness, 1)
     harness.scheduler.sweep(33.0)
     txn = harness.ledger.collect(True)
-    assert txn is not None and txn.guards[EPOCH] == 3, "and what it would record fails on the epoch"
+    assert txn is not None and txn.guards[EPOCH] == 3, "a transaction of the old term fails on the epoch guard"
--- a/ladderfield/leader/test_size.py
+++ b/ladderfield/leader/test_size.py
@@ -1,4 +1,4 @@
-"""Hundreds of machines: a pass costs what changed, not what there is. Counted, not timed."""
+"""Hundreds of machines: the cost of a pass grows with what changed, not with the fleet. Counted, not timed."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from ladderfield.workers.machine import Machine
 
 MACHINES = 400
-KEPT = 4  # connections that the clients of the state service and the cloud keep, each
+KEPT_CONNECTIONS = 4  # idle connections of the state service client and of the cloud client, each
 
 
-def crowd(monkeypatch: pytest.MonkeyPatch, jobs: int) -> tuple[SchedulerHarness, dict[str, int]]:
-    """All machines full, thousands of tasks queued; and what a pass looks at."""
+def full_fleet(monkeypatch: pytest.MonkeyPatch, jobs: int) -> tuple[SchedulerHarness, dict[str, int]]:
+    """A harness with all machines full and thousands of tasks queued, and counters of the checks that a pass makes."""
     harness = SchedulerHarness()
     for number in range(jobs):
         harness.submit(f"req-{number:06}", owner="blue", rungs=100, bundle=f"img-{number % 10}", cores=2.0)
@@ -34,90 +34,88 @@
     while harness.scheduler.changed:
         harness.scheduler.schedule(1.5)
     harness.record()
-    looked = {"room": 0, "queues": 0}
+    checks = {"room": 0, "queues": 0}
     has_room, pick = Machine.has_room, Queues._pick
 
     def counted_room(self: Machine, spec: object) -> bool:
-        looked["room"] += 1
+        checks["room"] += 1
         return has_room(self, spec)  # type: ignore[arg-type]
 
     def counted_pick(*arguments: object) -> object:
-        looked["queues"] += 1
+        checks["queues"] += 1
         return pick(*arguments)  # type: ignore[arg-type]
 
     monkeypatch.setattr(Machine, "has_room", counted_room)
     monkeypatch.setattr(Queues, "_pick", staticmethod(counted_pick))
-    return harness, looked
+    return harness, checks
 
 
-def test_a_pass_looks_at_the_machines_that_became_free(monkeypatch: pytest.MonkeyPatch) -> None:
-    harness, looked = crowd(monkeypatch, 40)
+def test_a_pass_costs_only_what_the_freed_machines_need(monkeypatch: pytest.MonkeyPatch) -> None:
+    harness, checks = full_fleet(monkeypatch, 40)
     free = [harness.machine(f"m{number:03}") for number in range(5)]
     for machine in free:
         for claim in list(machine.claims.values()):
             harness.scheduler.end(claim, True, 2.0)
     assert harness.scheduler.schedule(2.0) == 10
-    assert looked["queues"] < 100 and looked["room"] < 1000, looked
+    assert checks["queues"] < 100 and checks["room"] < 1000, checks
 
 
-def test_a_pass_with_nothing_free_looks_at_no_machine(monkeypatch: pytest.MonkeyPatch) -> None:
-    harness, looked = crowd(monkeypatch, 40)
+def test_a_pass_without_free_machines_checks_no_machine(monkeypatch: pytest.MonkeyPatch) -> None:
+    harness, checks = full_fleet(monkeypatch, 40)
     harness.scheduler.schedule(2.0)
-    assert looked == {"room": 0, "queues": 0}
+    assert checks == {"room": 0, "queues": 0}
 
 
 @pytest.mark.parametrize(
     ("sockets", "peers", "machines"),
     [(1648, 4, 930), (1935, 2, 902), (1200, 2, 48), (1500, 2, 72), (900, 4, 444)],
 )
-async def test_sockets_suffice_for_the_fleet_the_users_and_the_other_controllers(
-    sockets: int, peers: int, machines: int
-) -> None:
-    """One leader holds every worker's connection; no other use may take a worker's or a user's socket."""
+async def test_sockets_suffice_for_workers_users_and_peers(sockets: int, peers: int, machines: int) -> None:
+    """The leader holds a connection of every worker; other uses must not take sockets from workers or users."""
     own = settings()
     quota = msgspec.structs.replace(own.cluster.quota, max_connections=sockets)
     own = msgspec.structs.replace(own, cluster=msgspec.structs.replace(own.cluster, quota=quota))
     client = StateClient(own)
     term = Term(7, 3, 1, 0.0, 2.0, 17.0, 0.0)
     leader = Leader(own, term, client, View(client, own), Cloud(own), DependencyGraph(lambda key: None))
-    front, back = int(sockets * USERS_SHARE), back_most(sockets)
-    assert machines + 100 <= front, "workers, and users beside them"
-    assert back // peers >= 16, "relays"
-    outward = leader.dispatcher.most_kept + leader.dispatcher.most_pushes + back // peers * peers
-    outward += WorkerProber(own, View(client, own), Reachability(1.0, 1.0, 1), enabled=True).most
-    assert front + back + outward + 2 * KEPT + 2 <= sockets
-    assert leader.inbox_size >= machines, "a whole fleet reports at once after a takeover"
+    worker_sockets, peer_sockets = int(sockets * USERS_SHARE), back_most(sockets)
+    assert machines + 100 <= worker_sockets, "workers and 100 users"
+    assert peer_sockets // peers >= 16, "connections to relay reports to each peer"
+    outgoing = leader.dispatcher.most_kept + leader.dispatcher.most_pushes + peer_sockets // peers * peers
+    outgoing += WorkerProber(own, View(client, own), Reachability(1.0, 1.0, 1), enabled=True).most
+    assert worker_sockets + peer_sockets + outgoing + 2 * KEPT_CONNECTIONS + 2 <= sockets
+    assert leader.inbox_size >= machines, "the whole fleet may report at once after a takeover"
 
 
-def test_large_jobs_begin_and_go_on_while_small_ones_keep_coming() -> None:
-    """Least work first alone would let a large job wait for ever, and rank a low one: part of the room goes by age."""
+def test_large_jobs_start_and_progress_while_small_ones_keep_coming() -> None:
+    """The least-work order starves large jobs, and rank order starves low ranks: a share of the cpus goes by age."""
     harness = SchedulerHarness()
     for host in range(10):
         harness.report(f"m{host}")
     harness.submit("req-000001", owner="blue", rungs=300, rank="best_effort", expectS=30.0)
-    begun = None
+    started_at = None
     for step in range(150):
         now = 2.0 + 2.0 * step
-        for number in range(5):  # 20 tasks of 4 s each: all that ten machines can do in 2 s, twice over
+        for number in range(5):  # 40 tasks: twice what ten machines run in a step
             harness.submit(f"req-{step * 5 + number + 100:06}", owner="blue", rungs=8, expectS=4.0)
         for host in range(10):
             harness.report(f"m{host}", now=now)
         harness.record()
         harness.scheduler.schedule(now)
         large = harness.scheduler.jobs["req-000001"]
-        if large.claims and begun is None:
-            begun = now
+        if large.claims and started_at is None:
+            started_at = now
         for machine in harness.scheduler.machines.values():
             for claim in list(machine.claims.values()):
                 harness.scheduler.end(claim, True, now)
-    assert begun is not None and begun < 240
-    assert large.done > 20, "and it goes on"
+    assert started_at is not None and started_at < 240
+    assert large.done > 20, "it keeps progressing"
 
 
-def test_what_runs_on_for_long_does_not_use_up_the_room_that_goes_by_age() -> None:
-    """days/lasting-overload-cascade: large jobs began after seven minutes.
+def test_long_running_old_jobs_do_not_use_up_the_share_of_old_jobs() -> None:
+    """Old jobs that had started in the ordinary order counted against the share of old jobs.
 
-    Old jobs that ran in their turn held a quarter of the cpus.
+    They held a quarter of the cpus, and under lasting overload large jobs started only after seven minutes.
     """
     harness = SchedulerHarness()
     for host in range(10):
@@ -135,4 +133,4 @@
     for claim in list(harness.scheduler.jobs["req-000002"].claims.values())[:1]:
         harness.scheduler.end(claim, True, 131.0)
     harness.scheduler.schedule(131.0)
-    assert harness.scheduler.jobs["req-000003"].claims, "what has not begun comes first"
+    assert harness.scheduler.jobs["req-000003"].claims, "jobs that have not started come first"
--- a/ladderfield/leader/test_stranded.py
+++ b/ladderfield/leader/test_stranded.py
@@ -1,4 +1,4 @@
-"""Nothing is left behind: once the troubles are over, what fits and is allowed begins, and what is over is cleared."""
+"""After failures nothing stays stranded: tasks that fit and are allowed start, and finished jobs are removed."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from ladderfield.testing.cluster import cluster
 from ladderfield.testing.leader import SchedulerHarness, launched, launched_by_push, rung
 
-WAIT = 90.0  # seconds that no job may wait once a machine that fits has room
+MAX_WAIT_S = 90.0  # once a machine that fits has free capacity
 
 
-def begins(harness: SchedulerHarness, uid: str, hosts: str = "m", since: float = 2.0) -> bool:
-    """Machines report without any task, twice in a report interval; whether the job is launched in time."""
-    for step in range(int(WAIT)):
+def is_launched(harness: SchedulerHarness, uid: str, hosts: str = "m", since: float = 2.0) -> bool:
+    """Whether the job is launched within MAX_WAIT_S while machines report, twice per report interval, without tasks."""
+    for step in range(int(MAX_WAIT_S)):
         now = since + step
         harness.scheduler.sweep(now)
         for host in hosts:
@@ -29,43 +29,45 @@
 
 
 @pytest.mark.parametrize("others", ["", "abc"])
-def test_a_job_whose_task_failed_comes_back_to_the_only_machine_that_fits(others: str) -> None:
+def test_a_failed_task_is_retried_on_the_only_machine_that_fits(others: str) -> None:
     harness = SchedulerHarness()
     for host in others:
         harness.report(host, yard="zb")
     attempt = launched(harness, 1, yard="za")
     harness.report(rungs=(rung(0, attempt, "exited", "error"),), now=2.0)
-    assert not harness.report(now=2.5), "after a pause"
-    assert begins(harness, "req-000001", "m" + others, 3.0)
+    assert not harness.report(now=2.5), "the retry is delayed"
+    assert is_launched(harness, "req-000001", "m" + others, 3.0)
 
 
 @pytest.mark.parametrize("answer", [None, 409])
-def test_a_task_stopped_for_room_before_its_lost_launch_shows_starts_anew(answer: int | None) -> None:
+def test_a_task_preempted_before_its_lost_launch_is_listed_starts_again(answer: int | None) -> None:
     harness = SchedulerHarness()
     machine, order = launched_by_push(harness)
     harness.scheduler.stop(machine.claims["req-000001", 0], "preempted", 2.0)
     if answer is not None:
         harness.scheduler.sessions.answered(machine, [order["try"]], False)
     listed: dict[str, dict[str, Any]] = {}
-    for step in range(int(WAIT)):
-        for told in harness.report(rungs=tuple(listed.values()), now=2.0 + step):
-            if told["verb"] == "launch":
-                listed.setdefault(told["rung"], rung(0, told["try"]))
-            elif listed.get(told["rung"], {}).get("try") == told["try"]:
-                listed[told["rung"]] |= {"phase": "exited", "cause": "stopped"}
+    for step in range(int(MAX_WAIT_S)):
+        for received in harness.report(rungs=tuple(listed.values()), now=2.0 + step):
+            if received["verb"] == "launch":
+                listed.setdefault(received["rung"], rung(0, received["try"]))
+            elif listed.get(received["rung"], {}).get("try") == received["try"]:
+                listed[received["rung"]] |= {"phase": "exited", "cause": "stopped"}
         if step == 10 and answer is None:
-            assert machine.unanswered_launches == {order["try"]: 1}, "the copy may still come"
+            assert machine.unanswered_launches == {order["try"]: 1}, "the unanswered launch may still arrive"
         harness.report("other", now=2.0 + step)
         harness.record(2.0 + step)
         if harness.scheduler.jobs["req-000001"].claims[0].attempt != order["try"]:
-            assert answer or listed["req-000001/0"]["try"] == order["try"], "which what is listed makes harmless"
+            assert answer or listed["req-000001/0"]["try"] == order["try"], (
+                "the listed attempt makes a late copy of the launch harmless"
+            )
             return
-    raise AssertionError("stranded")
+    raise AssertionError("the task was not started again")
 
 
 @pytest.mark.parametrize("shape", ["array", "daemon"])
 @pytest.mark.parametrize("placement", ["spread", "oneZone"])
-async def test_machines_are_rented_where_the_jobs_other_tasks_allow_one(
+async def test_machines_are_rented_in_zones_that_the_placement_rule_allows(
     monkeypatch: pytest.MonkeyPatch, placement: str, shape: str
 ) -> None:
     async with cluster(monkeypatch) as whole:
@@ -75,12 +77,12 @@
         uid = await whole.submit(uid="req-000002", shape=shape, rungs=3, cores=3.0, expectS=200.0, **{placement: True})
         await trio.sleep(60)
         workers = whole.cloud.workers.values()
-        zones = sorted(str(one.about["yard"]) for one in workers for name in one.on() if name.startswith(uid))
+        zones = sorted(str(worker.about["yard"]) for worker in workers for name in worker.on() if name.startswith(uid))
         assert zones in ([["za", "za", "zb"], ["za", "zb", "zb"]] if placement == "spread" else [["zb"] * 3])
 
 
-@pytest.mark.parametrize("how", ["deleted", "silent", "sick", "recalled", "deaf"])
-def test_what_was_dealt_to_a_machine_that_is_lost_starts_on_another(how: str) -> None:
+@pytest.mark.parametrize("how", ["deleted", "silent", "faulty", "interrupted", "unreachable"])
+def test_tasks_queued_on_a_lost_machine_start_on_others(how: str) -> None:
     harness = SchedulerHarness()
     harness.report()
     harness.submit(rungs=8, owner="blue")
@@ -89,21 +91,21 @@
     lost = harness.machine()
     if how == "deleted":
         harness.scheduler.forget("m", 2.0)
-    elif how == "deaf":
+    elif how == "unreachable":
         harness.scheduler.sessions.ignored(lost, 2, 2.0)
-    elif how == "recalled":
+    elif how == "interrupted":
         harness.report(now=2.0, recallS=30.0)
-    elif how == "sick":
+    elif how == "faulty":
         lost.sick = True
     for now in (8.0, 8.5):
         harness.scheduler.sweep(now)
         for host in "abc":
             harness.report(host, now=now)
-    elsewhere = {index for one in "abc" for (_, index) in harness.machine(one).claims}
+    elsewhere = {index for host in "abc" for (_, index) in harness.machine(host).claims}
     assert len(elsewhere) == 6 and elsewhere >= {2, 3, 4, 5, 6, 7} - {index for (_, index) in lost.claims}
 
 
-def test_room_cleared_for_a_replica_that_is_cancelled_goes_to_others() -> None:
+def test_capacity_freed_for_a_cancelled_replica_is_used_by_other_jobs() -> None:
     harness = SchedulerHarness()
     attempt = launched(harness, 2)
     both = (rung(0, attempt), rung(1, attempt + 1))
@@ -112,62 +114,66 @@
     harness.scheduler.schedule(2.0)
     assert harness.machine().hold_until > 2.0
     harness.tell("req-000002", "cancelled")
-    gone = (rung(0, attempt, "exited", "stopped"), rung(1, attempt + 1, "exited", "stopped"))
-    harness.report(rungs=gone, now=3.0)
-    assert begins(harness, "req-000001")
+    stopped_tasks = (rung(0, attempt, "exited", "stopped"), rung(1, attempt + 1, "exited", "stopped"))
+    harness.report(rungs=stopped_tasks, now=3.0)
+    assert is_launched(harness, "req-000001")
 
 
 @pytest.mark.parametrize("takeover", [False, True])
-async def test_long_tasks_get_done_beside_workers_that_can_not_report(
+async def test_long_tasks_complete_while_some_workers_can_not_report(
     monkeypatch: pytest.MonkeyPatch, takeover: bool
 ) -> None:
-    """Direct commands reach them, so that they look well; but their lease runs out, and with it all that runs there."""
+    """Orders reach these workers, so they look healthy; but their leases expire, and all tasks there end."""
     async with cluster(monkeypatch) as whole:
         whole.run_s = 25.0
-        steady = await whole.submit(shape="daemon", rungs=8, cores=4.0, owner="blue")
-        await whole.busy(steady)
-        mute = list(whole.cloud.workers.values())[:3]
-        for worker in mute:
+        service = await whole.submit(shape="daemon", rungs=8, cores=4.0, owner="blue")
+        await whole.busy(service)
+        silent_workers = list(whole.cloud.workers.values())[:3]
+        for worker in silent_workers:
             worker.mute = True
         if takeover:
             whole.crash(whole.leader())
         await trio.sleep(20)
         node = whole.leader()
         uid = await whole.submit(node, uid="req-000002", rungs=2, cores=4.0, owner="blue", expectS=25.0)
-        await whole.until(node, uid, "done", WAIT)
-        on = {name for worker in whole.cloud.workers.values() if worker not in mute for name in worker.on()}
-        assert len([name for name in on if name.startswith(steady)]) == 8, "replicas moved to machines that report"
+        await whole.until(node, uid, "done", MAX_WAIT_S)
+        running = {
+            name for worker in whole.cloud.workers.values() if worker not in silent_workers for name in worker.on()
+        }
+        assert len([name for name in running if name.startswith(service)]) == 8, (
+            "all replicas run on machines that report"
+        )
 
 
-async def test_a_zone_that_was_cut_for_longer_than_a_lease_works_again(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_zone_that_was_cut_off_beyond_a_lease_runs_tasks_again(monkeypatch: pytest.MonkeyPatch) -> None:
     async with cluster(monkeypatch) as whole:
         bound = await whole.submit(rungs=6, cores=4.0, owner="blue", yard="za")
         anywhere = await whole.submit(uid="req-000002", rungs=6, cores=4.0, owner="blue", rank="urgent")
         await whole.busy(bound)
-        away = [one.address for one in whole.cloud.workers.values()]
-        whole.net.cut.update(away)
+        cut_addresses = [worker.address for worker in whole.cloud.workers.values()]
+        whole.net.cut.update(cut_addresses)
         whole.cloud.down = True
         await trio.sleep(20)
-        whole.net.cut.difference_update(away)
+        whole.net.cut.difference_update(cut_addresses)
         whole.cloud.down = False
         for uid in (bound, anywhere):
-            await whole.until(1, uid, "done", WAIT)
+            await whole.until(1, uid, "done", MAX_WAIT_S)
 
 
-async def test_small_jobs_that_come_fast_leave_nothing_behind(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Four a second, a quarter cancelled: what is to be written keeps up, and all of it is cleared once they end."""
-    desks: list[Scheduler] = []
+async def test_small_jobs_at_a_high_rate_are_all_recorded_and_removed(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Four jobs a second, a quarter of them cancelled: records are written in time and removed once the jobs end."""
+    schedulers: list[Scheduler] = []
     load = Scheduler.load
 
-    def noted(scheduler: Scheduler, data: dict[str, Any], now: float) -> None:
-        desks.append(scheduler)
+    def load_and_collect(scheduler: Scheduler, data: dict[str, Any], now: float) -> None:
+        schedulers.append(scheduler)
         load(scheduler, data, now)
 
-    monkeypatch.setattr(Scheduler, "load", noted)
+    monkeypatch.setattr(Scheduler, "load", load_and_collect)
     async with cluster(monkeypatch) as whole:
-        whole.cloud.capacity, seconds, most = 60, 90, 0
+        whole.cloud.capacity, seconds, max_entries = 60, 90, 0
 
-        async def one(number: int) -> None:
+        async def submit_one(number: int) -> None:
             uid = await whole.submit(number % 3, uid=f"req-{number:06}", rungs=1, cores=1.0, owner="blue")
             if number % 4 == 0:
                 await trio.sleep(number % 20 / 2)
@@ -175,20 +181,22 @@
 
         async with trio.open_nursery() as users:
             for number in range(4 * seconds):
-                users.start_soon(one, number)
+                users.start_soon(submit_one, number)
                 await trio.sleep(0.25)
-                (scheduler,) = desks
-                most = max(most, len(scheduler.jobs) + len(scheduler.clearable_records) + len(scheduler.pages.pages))
-        assert most < 20 * 4, "twenty seconds' worth, of which a task takes five"
+                (scheduler,) = schedulers
+                max_entries = max(
+                    max_entries, len(scheduler.jobs) + len(scheduler.clearable_records) + len(scheduler.pages.pages)
+                )
+        assert max_entries < 20 * 4, "at most the jobs of 20 seconds; a task runs for 5"
         await trio.sleep(20)
         assert not [key for key in whole.state.keys if key.startswith("lf/j/")]
         assert not (
             scheduler.jobs
             or scheduler.cancelled_at
             or scheduler.clearable_records
-            or scheduler.complete
-            or scheduler.unsettled
-            or scheduler.unrecorded
+            or scheduler.complete_jobs
+            or scheduler.unrecorded_ends
+            or scheduler.unrecorded_claims
         )
         assert all(page.size < 100 for page in scheduler.pages.pages)
         assert not any(
@@ -196,7 +204,7 @@
         )
 
 
-def test_pages_keep_nothing_of_a_job_that_is_cancelled_half_done() -> None:
+def test_pages_keep_nothing_of_a_partly_done_cancelled_job() -> None:
     harness = SchedulerHarness()
     attempt = launched(harness, 2)
     empty = harness.scheduler.pages.pages[0].size
@@ -209,7 +217,7 @@
     assert not (harness.scheduler.jobs or harness.scheduler.cancelled_at or harness.scheduler.clearable_records)
 
 
-def test_the_room_of_machines_that_can_not_report_is_rented_anew_unless_most_are_so() -> None:
+def test_machines_that_can_not_report_are_replaced_unless_the_majority_can_not() -> None:
     for reporting, rented in (("ab", 1), ("", 0)):
         harness = SchedulerHarness()
         harness.submit(owner="blue", rungs=3, cores=4.0, expectS=500.0)
@@ -219,8 +227,8 @@
         harness.scheduler.end(claim, False, 2.0)
         for host in reporting:
             harness.report(host, now=10.0)
-        harness.machine().fresh_at = 10.0  # it answers what we send
+        harness.machine().fresh_at = 10.0  # it answers our orders
         harness.scheduler.sweep(10.0)
         assert harness.machine().cannot_report
         waiting = harness.scheduler.jobs["req-000001"].waiting
-        assert sum(one.count for one in Planner(harness.scheduler).rentals(10.0)) == waiting - 1 + rented
+        assert sum(rental.count for rental in Planner(harness.scheduler).rentals(10.0)) == waiting - 1 + rented
--- a/ladderfield/leader/test_waiting.py
+++ b/ladderfield/leader/test_waiting.py
@@ -1,4 +1,4 @@
-"""Waiting jobs at the leader: none starts too early, none behind a cancelled one goes on, and none is in the way."""
+"""Jobs that wait for others: none starts early or after a cancelled one, and none uses resources while it waits."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def pipeline(**last: Any) -> SchedulerHarness:
-    """Three jobs of one task each, one after the other, and a machine."""
+    """Three jobs of one task each, each waiting for the one before it."""
     harness = SchedulerHarness()
     harness.submit(A, rungs=1)
     harness.submit(B, rungs=1, waitsOn=[A])
@@ -21,11 +21,12 @@
 
 
 def claimed(harness: SchedulerHarness) -> set[str]:
+    """The jobs with claimed tasks."""
     return {task[0] for machine in harness.scheduler.machines.values() for task in machine.claims}
 
 
 def finish(harness: SchedulerHarness, uid: str, now: float) -> None:
-    """The job's only task runs and ends."""
+    """Run the job's only task to its end."""
     claim = harness.scheduler.jobs[uid].claims[0]
     harness.record(now)
     harness.report(now=now)
@@ -33,13 +34,13 @@
     harness.report(rungs=(rung(0, claim.attempt, "exited", "done", uid=uid),), now=now)
 
 
-def test_stages_run_one_after_the_other_and_each_only_once_the_end_before_is_on_record() -> None:
+def test_each_stage_starts_only_once_the_end_of_the_stage_before_is_recorded() -> None:
     harness = pipeline()
     harness.report()
     assert claimed(harness) == {A}
     finish(harness, A, 2.0)
     harness.scheduler.schedule(2.0)
-    assert claimed(harness) == set(), "A has finished, but that is not on record"
+    assert claimed(harness) == set(), "the end of A is not recorded yet"
     harness.record(3.0)
     harness.scheduler.schedule(3.0)
     assert claimed(harness) == {B} and harness.scheduler.jobs[B].since == 3.0
@@ -49,7 +50,7 @@
     assert claimed(harness) == {C}
 
 
-def test_a_takeover_between_the_last_task_and_its_record_starts_nothing_early() -> None:
+def test_a_takeover_before_the_final_record_starts_no_dependent_early() -> None:
     data = {
         f"lf/j/{A}": (accepted(job(A, rungs=1)), 4),
         f"lf/j/{B}": (accepted(job(B, rungs=1, waitsOn=[A])), 5),
@@ -63,8 +64,8 @@
     assert claimed(harness) == {B}
 
 
-def test_a_final_record_that_is_there_already_is_not_guessed_at() -> None:
-    """A late copy of our own write looks like a cancellation at the last moment: only the record itself says which."""
+def test_an_existing_final_record_is_read_before_dependents_start_or_are_cancelled() -> None:
+    """The final record may come from a late copy of our own write or from a late cancellation; only its value tells."""
     for phase in ("done", "cancelled"):
         harness = pipeline()
         harness.report()
@@ -73,18 +74,20 @@
         assert txn is not None and [job.uid for job in txn.finals] == [A]
         harness.ledger.restamp(txn, {f"lf/f/{A}": 17})
         harness.scheduler.schedule(2.0)
-        assert claimed(harness) == set() and not harness.scheduler.orphaned
+        assert claimed(harness) == set() and not harness.scheduler.cancelled_dependents
         harness.tell(A, phase)
         harness.scheduler.schedule(2.0)
         assert claimed(harness) == ({B} if phase == "done" else set())
-        assert {job.uid for job in harness.scheduler.orphaned} == ({B, C} if phase == "cancelled" else set())
+        assert {job.uid for job in harness.scheduler.cancelled_dependents} == (
+            {B, C} if phase == "cancelled" else set()
+        )
 
 
-def test_what_waits_for_a_cancelled_job_gets_its_final_record_and_is_cleared_away() -> None:
+def test_dependents_of_a_cancelled_job_get_a_final_record_and_are_removed() -> None:
     harness = pipeline()
     harness.report()
     harness.tell(A, "cancelled")
-    harness.submit("req-000004", waitsOn=[C])  # named after it was cancelled
+    harness.submit("req-000004", waitsOn=[C])  # submitted after C was cancelled
     harness.record(2.0)
     assert {B, C, "req-000004"}.isdisjoint(claimed(harness))
     for uid in (B, C, "req-000004"):
@@ -93,7 +96,7 @@
     assert set(harness.scheduler.jobs) <= {A}
 
 
-def test_many_cancelled_with_one_are_written_in_bounded_transactions() -> None:
+def test_many_cancelled_dependents_are_written_in_bounded_transactions() -> None:
     harness = SchedulerHarness()
     harness.submit(A)
     for number in range(100, 150):
@@ -108,27 +111,29 @@
     assert max(sizes) <= 5 and sum(sizes) >= 50
 
 
-def test_a_waiting_job_is_in_nobodys_way() -> None:
+def test_a_waiting_job_takes_no_queue_quota_or_rental() -> None:
     harness = pipeline(rank="best_effort")
     harness.submit("req-000009", waitsOn=[A], rungs=500, owner="blue")
     harness.report()
     harness.record()
     planner = Planner(harness.scheduler)
     assert planner.rentals(2.0) == [] and harness.scheduler.teams.cpus["blue"] == 0.0
-    assert all(not one.queued and not one.undealt for uid, one in harness.scheduler.jobs.items() if uid != A)
+    assert all(
+        not waiting.queued and not waiting.undealt for uid, waiting in harness.scheduler.jobs.items() if uid != A
+    )
 
 
-def test_a_successor_knows_since_when_a_job_is_ready_and_for_whom_it_is_urgent() -> None:
+def test_a_successor_restores_ready_time_and_inherited_urgency() -> None:
     data = {
         f"lf/j/{B}": (accepted(job(B, waitsOn=[A], rank="best_effort"), at=900.0), 5),
         f"lf/j/{C}": (accepted(job(C, waitsOn=[B], rank="urgent", dueS=200.0), at=900.0), 5),
         f"lf/f/{A}": ({"phase": "done", "at": 990.0}, 6),
     }
-    one = SchedulerHarness(data).scheduler.jobs[B]
-    assert (one.since, one.at, one.order, one.due) == (-10.0, -100.0, (1,), (1095.0, 200.0))
+    restored = SchedulerHarness(data).scheduler.jobs[B]
+    assert (restored.since, restored.at, restored.order, restored.due) == (-10.0, -100.0, (1,), (1095.0, 200.0))
 
 
-def test_a_claim_of_an_urgent_chain_goes_first() -> None:
+def test_a_job_that_an_urgent_job_waits_for_goes_first() -> None:
     harness = SchedulerHarness()
     harness.submit("req-000000", rank="standard", owner="blue", rungs=2)
     harness.submit(A, rank="best_effort", owner="blue", rungs=1)
@@ -137,7 +142,7 @@
     assert A in claimed(harness)
 
 
-def test_a_waiting_job_survives_a_takeover_with_live_claims_before_it() -> None:
+def test_a_waiting_job_survives_a_takeover_while_the_job_it_needs_runs() -> None:
     data = {
         f"lf/j/{A}": (accepted(job(A, rungs=1)), 4),
         f"lf/j/{B}": (accepted(job(B, rungs=1, waitsOn=[A])), 5),
--- a/ladderfield/leader/waiting.py
+++ b/ladderfield/leader/waiting.py
@@ -1,6 +1,6 @@
-"""Waiting jobs on the leader's tables: when one is ready, when it is cancelled with another, how urgent each is.
+"""Jobs that wait for other jobs: keeps their readiness, cancellation and urgency in the leader's tables up to date.
 
-What is so follows from the records and is asked of ``DependencyGraph``; here the tables are kept in step with it.
+``DependencyGraph`` derives all three from the records.
 """
 
 from __future__ import annotations
@@ -15,43 +15,43 @@
 log = logging.getLogger(__name__)
 
 
-class Waiting:
-    """Ties accepted jobs to each other, and lets them go."""
+class WaitingJobs:
+    """Applies the dependency graph to the jobs in the leader's tables."""
 
     def __init__(self, tables: LeaderTables, dependencies: DependencyGraph) -> None:
         self.tables, self.dependencies = tables, dependencies
 
-    def tie(self, job: Job) -> None:
-        """What an accepted job waits for, and how urgent that makes the jobs before it."""
+    def add_job(self, job: Job) -> None:
+        """Set what an accepted job waits for, and update the urgency of the jobs that it needs."""
         needs = job.spec.needs or ()
         job.waits = self.dependencies.unmet(needs)
         if needs:
             job.since = max(job.at, self.dependencies.ready_at(needs) - self.tables.wall_offset)
         if self.dependencies.cancelled(job.uid):
-            self.tables.orphaned[job] = None
-        self._hurry(job.uid)
+            self.tables.cancelled_dependents[job] = None
+        self._update_urgency(job.uid)
 
-    def ended(self, uid: str, phase: str, now: float) -> None:
-        """A job's end is on record: jobs that wait for it are ready if it was the last, or cancelled with it."""
+    def job_ended(self, uid: str, phase: str, now: float) -> None:
+        """Handle a job's recorded end: dependents become ready if it was the last job they needed, or are cancelled."""
         if phase == CANCELLED:
-            for later in self.dependencies.all_after(uid):
-                job = self.tables.jobs.get(later)
+            for dependent in self.dependencies.all_after(uid):
+                job = self.tables.jobs.get(dependent)
                 if job is not None and job.final is None:
-                    self.tables.orphaned[job] = None
-            self._hurry(uid)
+                    self.tables.cancelled_dependents[job] = None
+            self._update_urgency(uid)
             return
-        for later in self.dependencies.after(uid):
-            job = self.tables.jobs.get(later)
+        for dependent in self.dependencies.after(uid):
+            job = self.tables.jobs.get(dependent)
             if job is not None and job.final is None and uid in job.waits:
                 job.waits.discard(uid)
                 if not job.waits:
-                    log.info("job %s: ready, all that it waits for is done", job.uid)
+                    log.info("job %s: ready, all jobs it waits for are done", job.uid)
                     job.since, self.tables.changed = now, True
 
-    def _hurry(self, uid: str) -> None:
-        """Jobs are as urgent as what waits for them."""
-        for one in (uid, *self.dependencies.all_before(uid)):
-            job = self.tables.jobs.get(one)
-            if job is not None and one in self.dependencies:
-                rank, job.due = self.dependencies.urgency(one)
+    def _update_urgency(self, uid: str) -> None:
+        """Give a job and the jobs it needs the urgency of the jobs that wait for them."""
+        for needed in (uid, *self.dependencies.all_before(uid)):
+            job = self.tables.jobs.get(needed)
+            if job is not None and needed in self.dependencies:
+                rank, job.due = self.dependencies.urgency(needed)
                 job.order = (rank,)
