--- a/ladderfield/connectivity/test_handover.py
+++ b/ladderfield/connectivity/test_handover.py
@@ -62,7 +62,7 @@
     "another is back within a second": partial(another_fails, "killed", MOMENT_S),
 }
 STEPS: dict[str, tuple[type, str]] = {
-    "before the resignation": (Resignation, "_settle"),
+    "before the resignation": (Resignation, "_wait_for_write"),
     "between release and the next grant": (StateClient, "release"),
     "while the successor reads": (Leader, "run"),
     "before it has pushed its epoch": (Dispatcher, "_push"),
--- a/ladderfield/leader/records.py
+++ b/ladderfield/leader/records.py
@@ -81,11 +81,11 @@
                 if other is None or other.attempt < attempt:
                     claims[claim.task] = claim
                 if other is not None:
-                    self.pages.mark_dirty(page if other.attempt >= attempt else self.pages.of(other) or page)
+                    self.pages.mark_dirty(page if other.attempt >= attempt else self.pages.page_of(other) or page)
 
     def _inherit(self, claim: Claim, now: float) -> None:
         """Bind a claim that an earlier leader recorded, so that no leader change can start its task twice."""
-        page = self.pages.of(claim)
+        page = self.pages.page_of(claim)
         assert page is not None
         page.add_claim(claim)
         claim.job.bind(claim)
@@ -175,7 +175,7 @@
         self.complete_jobs.pop(job, None)
         self.cancelled_dependents.pop(job, None)
         self.unrecorded_ends.pop(job, None)
-        self.pages.over(job)
+        self.pages.forget_job(job)
         self.check_job_end(job)
 
     def take_changes(self, changes: Iterable[Change], now: float) -> None:
--- a/ladderfield/leader/test_limits.py
+++ b/ladderfield/leader/test_limits.py
@@ -23,7 +23,7 @@
 def harness_with_small_limits(data: dict[str, Any] | None = None) -> SchedulerHarness:
     """A leader that writes within the smaller limits."""
     harness = SchedulerHarness(data)
-    harness.scheduler.pages.most = int(VALUE_LIMIT_BYTES * FULL)
+    harness.scheduler.pages.max_page_bytes = int(VALUE_LIMIT_BYTES * FULL)
     harness.ledger = Ledger(harness.scheduler, 3, MAX_OPS)
     return harness
 
@@ -207,7 +207,7 @@
     harness = harness_with_small_limits({key: (value, 5) for key, value in record.items()})
     while (txn := harness.ledger.collect(True)) is not None:
         check_transaction(txn)
-        harness.ledger.restamp(txn, {})
+        harness.ledger.retry_with_revisions(txn, {})
         again = harness.ledger.collect(True, 1)
         assert again is not None and set(again.puts) <= set(txn.puts)
         record.update(again.puts)
--- a/ladderfield/leader/test_size.py
+++ b/ladderfield/leader/test_size.py
@@ -81,7 +81,7 @@
     worker_sockets, peer_sockets = int(sockets * USERS_SHARE), back_most(sockets)
     assert machines + 100 <= worker_sockets, "workers and 100 users"
     assert peer_sockets // peers >= 16, "connections to relay reports to each peer"
-    outgoing = leader.dispatcher.most_kept + leader.dispatcher.most_pushes + peer_sockets // peers * peers
+    outgoing = leader.dispatcher.max_kept_connections + leader.dispatcher.max_pushes + peer_sockets // peers * peers
     outgoing += WorkerProber(own, View(client, own), Reachability(1.0, 1.0, 1), enabled=True).most
     assert worker_sockets + peer_sockets + outgoing + 2 * KEPT_CONNECTIONS + 2 <= sockets
     assert leader.inbox_size >= machines, "the whole fleet may report at once after a takeover"
--- a/ladderfield/leader/test_stranded.py
+++ b/ladderfield/leader/test_stranded.py
@@ -45,7 +45,7 @@
     machine, order = launched_by_push(harness)
     harness.scheduler.stop(machine.claims["req-000001", 0], "preempted", 2.0)
     if answer is not None:
-        harness.scheduler.sessions.answered(machine, [order["try"]], False)
+        harness.scheduler.sessions.orders_answered(machine, [order["try"]], False)
     listed: dict[str, dict[str, Any]] = {}
     for step in range(int(MAX_WAIT_S)):
         for received in harness.report(rungs=tuple(listed.values()), now=2.0 + step):
@@ -92,7 +92,7 @@
     if how == "deleted":
         harness.scheduler.forget("m", 2.0)
     elif how == "unreachable":
-        harness.scheduler.sessions.ignored(lost, 2, 2.0)
+        harness.scheduler.sessions.note_ignored_message(lost, 2, 2.0)
     elif how == "interrupted":
         harness.report(now=2.0, recallS=30.0)
     elif how == "faulty":
--- a/ladderfield/leader/test_unheard.py
+++ b/ladderfield/leader/test_unheard.py
@@ -72,7 +72,7 @@
             harness.report(now=now)
         assert is_unreachable(harness)
         if recovers:
-            harness.scheduler.sessions.answered(harness.machine(), [], True)
+            harness.scheduler.sessions.orders_answered(harness.machine(), [], True)
         for now in (4.0, 6.0, 8.0, 9.5):
             harness.report(now=now)
         harness.report("other", now=9.5)
@@ -85,9 +85,9 @@
     launched(harness, 1)
     machine = harness.machine()
     claim: Claim = machine.claims["req-000001", 0]
-    harness.scheduler.sessions.ignored(machine, 1, 2.0)
+    harness.scheduler.sessions.note_ignored_message(machine, 1, 2.0)
     harness.report(now=3.0, rungs=(rung(0, claim.attempt),))
-    harness.scheduler.sessions.ignored(machine, 1, 4.0)
+    harness.scheduler.sessions.note_ignored_message(machine, 1, 4.0)
     assert not is_unreachable(harness), "the launch listed in between shows that it receives answers"
 
 
@@ -196,9 +196,9 @@
     harness = SchedulerHarness()
     machine, order = launched_by_push(harness)
     harness.scheduler.sessions.orders(machine, 9.0, None)
-    harness.scheduler.sessions.answered(machine, [order["try"]], False)
+    harness.scheduler.sessions.orders_answered(machine, [order["try"]], False)
     assert machine.unanswered_launches == {order["try"]: 1}, "one copy was refused, the other is outstanding"
-    harness.scheduler.sessions.ignored(machine, 2, 9.0)
+    harness.scheduler.sessions.note_ignored_message(machine, 2, 9.0)
     harness.report(now=10.0)
     harness.scheduler.stop(machine.claims["req-000001", 0], "cancelled", 10.0)
     assert machine.claims
--- a/ladderfield/leader/test_waiting.py
+++ b/ladderfield/leader/test_waiting.py
@@ -72,7 +72,7 @@
         finish(harness, A, 2.0)
         txn = harness.ledger.collect(True)
         assert txn is not None and [job.uid for job in txn.finals] == [A]
-        harness.ledger.restamp(txn, {f"lf/f/{A}": 17})
+        harness.ledger.retry_with_revisions(txn, {f"lf/f/{A}": 17})
         harness.scheduler.schedule(2.0)
         assert claimed(harness) == set() and not harness.scheduler.cancelled_dependents
         harness.tell(A, phase)
@@ -102,7 +102,7 @@
     for number in range(100, 150):
         harness.submit(f"req-{number:06}", waitsOn=[A])
     harness.tell(A, "cancelled")
-    harness.ledger.most = 5
+    harness.ledger.max_ops = 5
     sizes = []
     while (txn := harness.ledger.collect(True)) is not None:
         sizes.append(txn.ops)
--- a/ladderfield/test_versions.py
+++ b/ladderfield/test_versions.py
@@ -185,7 +185,7 @@
 
 def test_an_old_leader_takes_over_what_a_new_one_leaves() -> None:
     harness = SchedulerHarness()
-    harness.scheduler.pages.most = 1900
+    harness.scheduler.pages.max_page_bytes = 1900
     harness.submit("req-000001", rungs=40, owner="blue")
     harness.submit("req-000002", rungs=1, shape="daemon", rank="production", owner="blue", cores=4.0)
     harness.submit("req-000003", rungs=1, owner="blue")
--- a/ladderfield/testing/scripted_fleet.py
+++ b/ladderfield/testing/scripted_fleet.py
@@ -151,7 +151,7 @@
                 message = ReportReceived(worker.report(), False)
                 self.leader.send.send_nowait(message)  # WouldBlock would be a refusal
                 messages.append((worker, message))
-        while (received := self.leader._next()) is not None:
+        while (received := self.leader._next_message()) is not None:
             self.leader._handlers[type(received)](received, self.now)
         for worker, message in messages:
             answer = message.answer.value
--- a/ladderfield/zones/test_record.py
+++ b/ladderfield/zones/test_record.py
@@ -109,6 +109,6 @@
     record.dirty = True
     txn = fleet.leader.ledger.collect(True)
     assert txn is not None and txn.guards[ZONES_KEY] == 0 and not record.dirty
-    fleet.leader.ledger.restamp(txn, {ZONES_KEY: 44})
+    fleet.leader.ledger.retry_with_revisions(txn, {ZONES_KEY: 44})
     again = fleet.leader.ledger.collect(True)
     assert again is not None and again.guards[ZONES_KEY] == 44
