--- a/ladderfield/leader/actor.py
+++ b/ladderfield/leader/actor.py
@@ -1,7 +1,8 @@
-"""The leader as an actor: one inbox, one loop that alone touches the tables, and helpers that do the I/O.
+"""The leader as an actor: a single loop reads one inbox and owns the tables; helper tasks do the I/O.
 
-Helpers (writer, dispatcher, cloud tasks) get copies of what they need and answer by message. The inbox is bounded:
-who can't get in (a report) is told so at once, and who must get in (the view) is held back.
+The helpers (writer, dispatcher, cloud tasks) get copies of the data they need and send their results as messages. The
+inbox is bounded: a report that doesn't fit is refused at once, while senders that must not lose messages, such as the
+view, wait for space.
 """
 
 from __future__ import annotations
@@ -34,7 +35,7 @@
     OrdersAnswered,
     RentalAnswered,
     ReportReceived,
-    Tick,
+    TimerFired,
     TransactionAnswered,
     WriterReady,
 )
@@ -53,16 +54,16 @@
 
 log = logging.getLogger(__name__)
 
-INBOX_SHARE = 1.0  # of the sockets: every connection may bring a report at once, as a whole fleet does after a takeover
-INBOX_LEAST = 256  # messages
-PASS_SHARE = 0.2  # of the loop's time, at most: passes of scheduling
-IDLE_PASS_SHARE = 0.05  # the same after a pass that found nothing to claim, which costs a look at every machine
-TICK = 1 / 6  # of report_s
-BATCH = 1 / 3  # of report_s: how long finished tasks may wait to be recorded together
+INBOX_SHARE = 1.0  # messages per connection: after a takeover the whole fleet may report at once
+MIN_INBOX_MESSAGES = 256
+PASS_TIME_SHARE = 0.2  # maximum share of the loop's time spent in scheduling passes
+EMPTY_PASS_TIME_SHARE = 0.05  # the same after a pass without new claims, which still examines every machine
+TIMER_REPORT_INTERVALS = 1 / 6
+BATCH_REPORT_INTERVALS = 1 / 3  # how long finished tasks may wait to be recorded in one batch
 
 
 class Leader:
-    """One term in office."""
+    """The leader of one term."""
 
     def __init__(
         self,
@@ -81,10 +82,10 @@
         self.authority_log = AuthorityLog()
         workers = settings.cluster.workers
         self.report_s = workers.report_s
-        # An earlier leader may go on answering for so long, of whatever version it is.
+        # An earlier leader may keep answering reports during its grace period, which depends on its version.
         members = [settings.member, *(peer.member for peer in settings.peers)]
         grace = max(grace_of(settings, view, member) for member in members)
-        self.inbox_size = max(INBOX_LEAST, int(settings.cluster.quota.max_connections * INBOX_SHARE))
+        self.inbox_size = max(MIN_INBOX_MESSAGES, int(settings.cluster.quota.max_connections * INBOX_SHARE))
         self.send, self.inbox = trio.open_memory_channel[Message](self.inbox_size)
         self.scheduler = Scheduler(
             settings, term.epoch, trio.current_time(), time.time(), grace, dependencies, term.before, zone_options
@@ -97,7 +98,7 @@
         self.writer = Writer(settings, term.epoch, client, self.send)
         self.cloud_tasks = CloudTasks(settings, term, cloud, client, view, self.send)
         self.fleet = FleetManager(term, self.scheduler, self.cloud_tasks, self.dispatcher)
-        self._recorded_at = self._pass_at = -math.inf
+        self._recorded_at = self._next_pass_at = -math.inf
         self._handlers: dict[type, Callable[[Any, float], None]] = {
             ReportReceived: self._on_report,
             KeysChanged: self._on_keys_changed,
@@ -110,13 +111,13 @@
             CancellationsLearned: self._on_cancellations_learned,
             NoOtherLeader: self._on_no_other_leader,
             ControllersChecked: self._on_controllers_checked,
-            Tick: self._on_tick,
+            TimerFired: self._on_timer_fired,
         }
 
     async def run(self, announce: Callable[[trio.MemorySendChannel[Message] | None], None]) -> None:
-        """Take over, announce the inbox, and serve until the term is over."""
+        """Take over, announce the inbox, and run until the term ends."""
         while self.view.ledger < self.term.stamp:
-            # Without a view there is nothing to take over, but a term that is over must not hold up the next one.
+            # The takeover needs a current view, but a term that has ended must not delay the next one.
             if self.term.over.is_set():
                 return
             with trio.move_on_after(self.term.ttl):
@@ -131,9 +132,9 @@
             )
             async with trio.open_nursery() as nursery:
                 self.dispatcher.nursery = self.fleet.nursery = nursery
-                nursery.start_soon(self._feed, changes)
+                nursery.start_soon(self._feed_view_changes, changes)
                 nursery.start_soon(self.writer.run)
-                nursery.start_soon(self._timer)
+                nursery.start_soon(self._run_timer)
                 nursery.start_soon(self.cloud_tasks.list_machines)
                 nursery.start_soon(self.cloud_tasks.record_types)
                 nursery.start_soon(self._loop)
@@ -143,7 +144,7 @@
                 await self.term.over.wait()
                 announce(None)
                 nursery.cancel_scope.cancel()
-        while (message := self._next()) is not None:
+        while (message := self._next_message()) is not None:
             if isinstance(message, ReportReceived):
                 message.answer.set(None)
 
@@ -151,41 +152,41 @@
         while not self.term.over.is_set():
             message = await self.inbox.receive()
             try:
-                self._handle_gathered(message)
+                self._handle_queued(message)
                 self._advance(trio.current_time())
             except Exception:
-                # The tables can't be trusted now. What is on record can: whoever is leader next rebuilds from it,
-                # and users are served meanwhile.
-                log.exception("epoch %d: an error in the leader's tables", self.term.epoch)
-                self.term.end("of an error")
+                # The tables may be inconsistent now, but the recorded state is not: the next leader rebuilds from it,
+                # and the job API keeps serving users in the meantime.
+                log.exception("epoch %d: unhandled error in the leader loop", self.term.epoch)
+                self.term.end("internal error")
 
-    def _handle_gathered(self, message: Message) -> None:
-        """Handle a message and those that have come in meanwhile, which share one pass of scheduling."""
+    def _handle_queued(self, message: Message) -> None:
+        """Handle a message and those queued behind it, so that they share one scheduling pass."""
         self._handlers[type(message)](message, trio.current_time())
         for _ in range(self.inbox_size):
-            following = self._next()
+            following = self._next_message()
             if following is None:
                 return
             self._handlers[type(following)](following, trio.current_time())
 
-    def _next(self) -> Message | None:
-        """What else has come in, or None."""
+    def _next_message(self) -> Message | None:
+        """Return the next queued message, or None if the inbox is empty."""
         try:
             return self.inbox.receive_nowait()
         except trio.WouldBlock:
             return None
 
     def _advance(self, now: float) -> None:
-        """After the messages: schedule, record and push."""
-        # A pass is worth its time only when what it claims can be recorded at once, and as far as passes leave time for
-        # all else: a flood of reports shares them.
-        if self.scheduler.changed and not self.writer.busy and now >= self._pass_at and self._may_claim(now):
+        """Run a scheduling pass, submit the next transaction and push orders, after the messages were handled."""
+        # A pass runs only when the writer can record its claims at once, and passes are limited to a share of the
+        # loop's time: under a flood of reports, many messages share one pass.
+        if self.scheduler.changed and not self.writer.busy and now >= self._next_pass_at and self._may_claim(now):
             claimed = self.scheduler.schedule(now)
-            took = trio.current_time() - now
-            now += took
-            self._pass_at = now + took * (1 / (PASS_SHARE if claimed else IDLE_PASS_SHARE) - 1)
+            pass_s = trio.current_time() - now
+            now += pass_s
+            self._next_pass_at = now + pass_s * (1 / (PASS_TIME_SHARE if claimed else EMPTY_PASS_TIME_SHARE) - 1)
         if not self.writer.busy:
-            batch = now - self._recorded_at >= BATCH * self.report_s
+            batch = now - self._recorded_at >= BATCH_REPORT_INTERVALS * self.report_s
             txn = None if self.term.resigning else self.ledger.collect(batch, self.client.leader_writes.level())
             if txn is not None:
                 if batch:
@@ -199,7 +200,7 @@
     def _on_report(self, message: ReportReceived, now: float) -> None:
         report = message.report
         authority = self.term.authority()
-        if self._outranked(report, authority, now):
+        if self._saw_later_epoch(report, authority, now):
             message.answer.set(None)
             return
         if not authority.allows(Decision.KEEP_LEASE_ALIVE, now) or self.scheduler.detector.must_let_lease_end(
@@ -215,10 +216,10 @@
             orders = self.scheduler.sessions.orders(machine, now, report.tick, may_launch)
         message.answer.set(ReportAnswer(self.term.epoch, orders))
 
-    def _outranked(self, report: Report, authority: Authority, now: float) -> bool:
-        """Whether the machine has seen a later leader's epoch, so that nothing we say counts there; then we yield.
+    def _saw_later_epoch(self, report: Report, authority: Authority, now: float) -> bool:
+        """Whether the machine has seen a later leader's epoch and so ignores this leader, whose term then ends.
 
-        An epoch that no leader gave harms that machine only, which has to go.
+        An epoch that no leader has used is a fault of that machine alone: it is marked as faulty.
         """
         judgement = authority.judge_epoch(report.epoch, now)
         if judgement is EpochJudgement.NOT_LATER:
@@ -232,7 +233,7 @@
     def _on_keys_changed(self, message: KeysChanged, now: float) -> None:
         for change in message.changes:
             if change.key == EPOCH and change.value and change.value["epoch"] > self.term.epoch:
-                self.term.end(f"epoch {change.value['epoch']} is on record")
+                self.term.end(f"epoch {change.value['epoch']} was recorded")
         self.scheduler.take_changes(message.changes, now)
 
     def _on_writer_ready(self, message: WriterReady, now: float) -> None:
@@ -244,34 +245,37 @@
         elif message.outcome.failed is None:
             self.ledger.applied(message.txn, message.outcome.ledger, now)
         elif EPOCH in message.outcome.failed:
-            self.term.end("another epoch is on record")
+            self.term.end("another epoch was recorded")
         else:
-            self.ledger.restamp(message.txn, message.stamps)
+            self.ledger.retry_with_revisions(message.txn, message.revisions)
 
     def _on_orders_answered(self, message: OrdersAnswered, now: float) -> None:
-        self.dispatcher.finished(message.host)
+        self.dispatcher.push_finished(message.host)
         machine = self.scheduler.machines.get(message.host)
         if machine is None:
             return
         if self.reachability is not None and message.report is not None:
             self.reachability.workers.asked(machine.zone, True, now)
         if message.report is None or message.report.host != message.host:
-            # Only where reports do come straight from it: what is silent, or relayed, is out of our reach anyway.
-            heard = machine.heard_at is not None and now - machine.heard_at <= OVERDUE_REPORT_INTERVALS * self.report_s
-            if heard and not machine.relayed:
-                self.scheduler.sessions.ignored(machine, 1, now)
+            # Counts only for a machine that reports to this controller directly: one that is silent or relayed is
+            # unreachable from here anyway.
+            heard_recently = (
+                machine.heard_at is not None and now - machine.heard_at <= OVERDUE_REPORT_INTERVALS * self.report_s
+            )
+            if heard_recently and not machine.relayed:
+                self.scheduler.sessions.note_ignored_message(machine, 1, now)
             return
-        if self._outranked(message.report, self.term.authority(), now):
+        if self._saw_later_epoch(message.report, self.term.authority(), now):
             return
         if message.report.tenure >= machine.tenure:
-            self.scheduler.sessions.answered(machine, message.attempts, message.executed)
+            self.scheduler.sessions.orders_answered(machine, message.attempts, message.executed)
         self.scheduler.sessions.report(message.report, now, answering=False)
         if not message.executed or machine.epoch != self.term.epoch:
             self.dispatcher.request(message.host)
 
     def _on_cancellations_learned(self, message: CancellationsLearned, now: float) -> None:
         for uid in message.uids:
-            # Confirmed after what we knew for sure, or we would know it.
+            # It must have been confirmed after ``known_at``, or it would be known already.
             self.scheduler.cancellation_reported(uid, self.term.known_at, now)
         self.term.knows(message.known_at)
 
@@ -281,31 +285,33 @@
     def _on_controllers_checked(self, message: ControllersChecked, now: float) -> None:
         self.scheduler.zones.on_controllers_checked(message.reachable)
 
-    def _on_tick(self, message: Tick, now: float) -> None:
+    def _on_timer_fired(self, message: TimerFired, now: float) -> None:
         if not self._may_claim(now):
             self.scheduler.zones.extend_holds(now)
-        doomed = self.scheduler.sweep(now)
+        to_delete = self.scheduler.sweep(now)
         self.dispatcher.request_due(now)
-        self.fleet.manage(doomed, now)
-        self._observe_reach(now)
+        self.fleet.manage(to_delete, now)
+        self._observe_reachability(now)
 
-    def _observe_reach(self, now: float) -> None:
-        """Say which machines come straight here, and resign if that is due."""
+    def _observe_reachability(self, now: float) -> None:
+        """Update the reachability counts of directly reporting machines, and resign if that is due."""
         if self.reachability is None:
             return
-        counts = {zone: (one.machines, one.reporting_directly) for zone, one in self.scheduler.detector.zones.items()}
+        counts = {
+            zone: (count.machines, count.reporting_directly) for zone, count in self.scheduler.detector.zones.items()
+        }
         self.reachability.workers.counted(counts)
-        came_back = 0 if self.resignation is None else self.resignation.succession.came_back(now)
-        self.reachability.look(now, TICK * self.report_s, came_back)
+        machines_back = 0 if self.resignation is None else self.resignation.succession.came_back(now)
+        self.reachability.look(now, TIMER_REPORT_INTERVALS * self.report_s, machines_back)
         self.authority_log.observe(self.term.authority(), now)
         if self.resignation is not None:
             self.resignation.consider(now)
 
-    async def _feed(self, changes: trio.MemoryReceiveChannel[list[Change]]) -> None:
+    async def _feed_view_changes(self, changes: trio.MemoryReceiveChannel[list[Change]]) -> None:
         async for batch in changes:
             await self.send.send(KeysChanged(batch))
 
-    async def _timer(self) -> None:
+    async def _run_timer(self) -> None:
         while True:
-            await trio.sleep(TICK * self.report_s)
-            await self.send.send(Tick())
+            await trio.sleep(TIMER_REPORT_INTERVALS * self.report_s)
+            await self.send.send(TimerFired())
--- a/ladderfield/leader/cloud_tasks.py
+++ b/ladderfield/leader/cloud_tasks.py
@@ -1,4 +1,4 @@
-"""The leader's calls to the cloud: the machine list, the machine types, rentals and deletions."""
+"""The leader's calls to the cloud API: machine list, machine types, rentals and deletions."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 log = logging.getLogger(__name__)
 
-LIST_EVERY = 1.0  # of list_lag_s: a list is no fresher than that
-LIST_SHARE = 1 / 3  # of the cloud's calls: what lists may take, as rentals and the types need some too
-TYPES_EVERY = 20.0  # of report_s: prices move
-RETRY = 1 / 2  # of report_s: the pause after a rental or a deletion that failed
+LIST_LAG_FACTOR = 1.0  # of list_lag_s: pause between lists, which are never more recent than that
+LIST_CALL_SHARE = 1 / 3  # of the cloud API's rate limit: rentals and machine types need calls too
+TYPES_REPORT_INTERVALS = 20.0  # pause between reads of the machine types, whose prices change
+RETRY_REPORT_INTERVALS = 1 / 2  # pause after a failed rental or deletion
 
 
 class CloudTasks:
-    """Tasks beside one leader's loop; each tells the leader its result."""
+    """Background tasks of one leader; each sends its result to the leader's inbox."""
 
     def __init__(
         self,
@@ -42,8 +42,8 @@
         self.report_s = settings.cluster.workers.report_s
 
     async def list_machines(self) -> None:
-        """Tell the leader for ever which machines the cloud lists."""
-        pause = max(LIST_EVERY * self.settings.cluster.cloud.list_lag_s, self.report_s)
+        """Send the cloud's machine list to the leader periodically until cancelled."""
+        min_pause_s = max(LIST_LAG_FACTOR * self.settings.cluster.cloud.list_lag_s, self.report_s)
         while True:
             calls = 1
             try:
@@ -51,61 +51,70 @@
                 calls += len(hosts) // LIST_MOST
                 await self.inbox.send(MachinesListed(hosts))
             except CloudError as error:
-                log.debug("list: %s", error)
-            await trio.sleep(max(pause, calls / (LIST_SHARE * self.cloud.budget.rate)))
+                log.debug("machine list failed: %s", error)
+            await trio.sleep(max(min_pause_s, calls / (LIST_CALL_SHARE * self.cloud.budget.rate)))
 
     async def record_types(self) -> None:
-        """Keep the types (and prices) in the state service, so that a cloud outage doesn't stop intake."""
+        """Keep machine types and prices in the state service, so that jobs are accepted during a cloud outage."""
         while True:
             try:
-                most = self.settings.cluster.state.value_kb * 1024 * FULL
-                kinds = types_record(await self.cloud.types(), most)
-                if parse_types(kinds) and kinds != self.view.get(TYPES):
+                max_bytes = self.settings.cluster.state.value_kb * 1024 * FULL
+                machine_types = types_record(await self.cloud.types(), max_bytes)
+                if parse_types(machine_types) and machine_types != self.view.get(TYPES):
                     await self.client.leader_writes.take()
-                    # A copy of this that is carried out late must not bring older types back.
+                    # The guard on the types stops a delayed copy of this write from restoring older ones.
                     guards = {EPOCH: self.term.stamp, TYPES: self.view.stamp(TYPES)}
-                    await self.client.commit(guards, {TYPES: kinds}, [], self.report_s)
-                await trio.sleep(TYPES_EVERY * self.report_s)
+                    await self.client.commit(guards, {TYPES: machine_types}, [], self.report_s)
+                await trio.sleep(TYPES_REPORT_INTERVALS * self.report_s)
             except (CloudError, StateServiceError) as error:
-                log.info("machine types: %s", error)
+                log.info("machine types were not updated: %s", error)
                 await trio.sleep(self.report_s)
 
     async def rent(self, name: str, rental: Rental) -> None:
-        """Rent machines under a name; repeated until the cloud has answered."""
-        kind, zone, spot = rental.offer
+        """Rent machines under a rental name, retrying until the cloud answers."""
+        machine_type, zone, spot = rental.offer
         count = rental.count
         hosts: list[str] = []
         refused = False
         while True:
             try:
-                hosts = await self.cloud.rent(name, kind, zone, spot, count, self._may_rent)
+                hosts = await self.cloud.rent(name, machine_type, zone, spot, count, self._may_rent)
                 refused = len(hosts) < count
-                log.info("hire %s: %d of %d %s in %s, spot %s: %s", name, len(hosts), count, kind, zone, spot, hosts)
+                log.info(
+                    "rental %s: got %d of %d %s in %s, spot %s: %s",
+                    name,
+                    len(hosts),
+                    count,
+                    machine_type,
+                    zone,
+                    spot,
+                    hosts,
+                )
                 break
             except NoCapacityError:
-                log.info("hire %s: no %s in %s, spot %s", name, kind, zone, spot)
+                log.info("rental %s: no capacity for %s in %s, spot %s", name, machine_type, zone, spot)
                 refused = True
                 break
             except CloudError as error:
-                log.info("hire %s: %s", name, error)
-                await trio.sleep(RETRY * self.report_s)
+                log.info("rental %s failed, retrying: %s", name, error)
+                await trio.sleep(RETRY_REPORT_INTERVALS * self.report_s)
         await self.inbox.send(RentalAnswered(name, rental.offer, hosts, refused))
 
     async def delete(self, hosts: list[str]) -> None:
-        """Delete machines."""
+        """Delete machines, once; the leader requests it again if it was not confirmed."""
         try:
             await self.cloud.delete(hosts, self._may_delete)
             confirmed = True
         except CloudError as error:
-            log.info("delete %s: %s", hosts, error)
+            log.info("deletion of %s failed: %s", hosts, error)
             confirmed = False
-            await trio.sleep(RETRY * self.report_s)
+            await trio.sleep(RETRY_REPORT_INTERVALS * self.report_s)
         await self.inbox.send(DeletionAnswered(hosts, confirmed))
 
     def _may_rent(self) -> bool:
-        """Asked once more after the wait for the cloud's turn."""
+        """Whether the leader may still rent, checked again after waiting for the cloud API's rate limit."""
         return self.term.allows(Decision.RENT)
 
     def _may_delete(self) -> bool:
-        """The same for deletions, which could take what a successor has put to work."""
+        """The same for deletions, which could hit machines that a successor has already assigned work to."""
         return self.term.allows(Decision.DELETE)
--- a/ladderfield/leader/fleet_manager.py
+++ b/ladderfield/leader/fleet_manager.py
@@ -1,4 +1,4 @@
-"""The machines that a leader rents, finds, returns and deletes."""
+"""Rents, discovers, returns and deletes the leader's machines."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
 log = logging.getLogger(__name__)
 
-PLAN_EVERY = 1 / 3  # of report_s
+PLAN_REPORT_INTERVALS = 1 / 3
 
 
 class FleetManager:
-    """Carries the planner's decisions out, and takes the cloud's answers in, on the scheduler's tables."""
+    """Carries out the planner's decisions and applies the cloud's answers to the scheduler's tables."""
 
     nursery: trio.Nursery  # where calls to the cloud run
 
@@ -31,30 +31,33 @@
         self.term, self.scheduler, self.cloud_tasks, self.dispatcher = term, scheduler, cloud_tasks, dispatcher
         self.planner = Planner(scheduler)
         self._planned_at = -math.inf
-        self._renting: dict[str, Offer] = {}  # hires under way
-        self._hires = 0
+        self._renting: dict[str, Offer] = {}  # rentals in progress, by name
+        self._rental_count = 0
         self._deleting: set[str] = set()
 
-    def manage(self, doomed: list[str], now: float) -> None:
-        """Rent, return, and delete what is doomed or returned, as far as we may."""
+    def manage(self, to_delete: list[str], now: float) -> None:
+        """Rent and return machines, and delete those returned or in ``to_delete``, as far as this leader may."""
         authority = self.term.authority()
-        if authority.allows(Decision.RENT, now) and now - self._planned_at >= PLAN_EVERY * self.scheduler.report_s:
+        if (
+            authority.allows(Decision.RENT, now)
+            and now - self._planned_at >= PLAN_REPORT_INTERVALS * self.scheduler.report_s
+        ):
             self._planned_at = now
             try:
-                doomed = doomed + self._plan(now)
+                to_delete = to_delete + self._plan(now)
             except Exception:
-                # A plan only reads the tables. Running without one for a while beats ending a leader over it.
-                log.exception("epoch %d: no plan", self.term.epoch)
-        due = [host for host in doomed if host not in self._deleting][:DELETE_MOST]
+                # Planning only reads the tables, so a failed plan is skipped rather than ending the term.
+                log.exception("epoch %d: fleet planning failed", self.term.epoch)
+        due = [host for host in to_delete if host not in self._deleting][:DELETE_MOST]
         if due and authority.allows(Decision.DELETE, now):
             self._deleting.update(due)
             self.nursery.start_soon(self.cloud_tasks.delete, due)
 
     def _plan(self, now: float) -> list[str]:
-        """Rent and return; answers what is to be deleted."""
+        """Rent and return machines; the result is the hosts to delete."""
         returned = self.planner.returns(now)
         for machine in returned:
-            log.info("machine %s: idle, returned", machine.host)
+            log.info("machine %s: idle, returning it", machine.host)
             machine.deleting = True
             self.scheduler.queues.withdraw(machine)
         if not self._renting:
@@ -63,41 +66,43 @@
         return [machine.host for machine in returned]
 
     def _rent(self, rental: Rental) -> None:
-        """Ask for machines, in as many hires as the cloud's bound on one makes it."""
+        """Rent machines, split into several rentals where the cloud's limit for one is exceeded."""
         for first in range(0, rental.count, RENT_MOST):
-            self._hires += 1
-            # No other leader has this epoch, so no other hire can ever have this name; the epoch's record came first.
-            name = f"lf-{self.term.epoch}-{self._hires}"
+            self._rental_count += 1
+            # Unique: no other leader has this epoch, and the epoch was recorded before its first rental.
+            name = f"lf-{self.term.epoch}-{self._rental_count}"
             self._renting[name] = rental.offer
             count = min(RENT_MOST, rental.count - first)
             self.nursery.start_soon(self.cloud_tasks.rent, name, Rental(rental.offer, count))
 
     def on_machines_listed(self, message: MachinesListed, now: float) -> None:
-        """Take the cloud's list of machines in."""
-        for one in message.hosts:
-            fresh = one.host not in self.scheduler.machines
-            machine = self.scheduler.sessions.machine(one.host, one.endpoint or "", one.type, one.zone, one.spot, now)
+        """Apply the cloud's list of machines."""
+        for entry in message.hosts:
+            is_new = entry.host not in self.scheduler.machines
+            machine = self.scheduler.sessions.machine(
+                entry.host, entry.endpoint or "", entry.type, entry.zone, entry.spot, now
+            )
             if machine is None:
                 continue
-            machine.listed = one.phase
-            if fresh:
-                machine.born_at = now - one.held_s
-                log.info("machine %s: found in the list, %s", one.host, one.phase)
-            if machine.endpoint and one.phase == "running" and machine.epoch != self.term.epoch:
-                self.dispatcher.request(one.host)  # raise the epoch there
+            machine.listed = entry.phase
+            if is_new:
+                machine.born_at = now - entry.held_s
+                log.info("machine %s: discovered in the cloud's list, %s", entry.host, entry.phase)
+            if machine.endpoint and entry.phase == "running" and machine.epoch != self.term.epoch:
+                self.dispatcher.request(entry.host)  # so that it learns this leader's epoch
 
     def on_rental_answered(self, message: RentalAnswered, now: float) -> None:
-        """Take a rental's end in."""
+        """Add the machines of a finished rental."""
         self._renting.pop(message.name, None)
         if message.refused:
             self.planner.refuse(message.offer, now)
-            self._planned_at = -math.inf  # look for something else at once
-        kind, zone, spot = message.offer
+            self._planned_at = -math.inf  # plan again at once with other offers
+        machine_type, zone, spot = message.offer
         for host in message.hosts:
-            self.scheduler.sessions.machine(host, "", kind, zone, spot, now)
+            self.scheduler.sessions.machine(host, "", machine_type, zone, spot, now)
 
     def on_deletion_answered(self, message: DeletionAnswered, now: float) -> None:
-        """Forget the machines whose deletion is confirmed."""
+        """Forget the machines whose deletion was confirmed."""
         self._deleting.difference_update(message.hosts)
         if message.confirmed:
             for host in message.hosts:
--- a/ladderfield/leader/messages.py
+++ b/ladderfield/leader/messages.py
@@ -1,4 +1,4 @@
-"""The messages in the leader's inbox, one type for each thing that may have happened."""
+"""The messages in the leader's inbox, one type per kind of event."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class PendingAnswer:
-    """The answer to a request that waits for the leader; None is a refusal."""
+    """The pending answer to a request queued for the leader; None means that it was refused."""
 
     __slots__ = ("_event", "value")
 
@@ -26,7 +26,7 @@
         self.value: ReportAnswer | None = None
 
     def set(self, value: ReportAnswer | None) -> None:
-        """Answer or refuse the request."""
+        """Answer the request, or refuse it with None."""
         self.value = value
         self._event.set()
 
@@ -35,13 +35,13 @@
         return self._event.is_set()
 
     async def wait(self) -> ReportAnswer | None:
-        """The answer, once it is there."""
+        """Wait for the answer."""
         await self._event.wait()
         return self.value
 
 
 class ReportReceived(msgspec.Struct, frozen=True, eq=False):
-    """A worker's report, which waits for its answer."""
+    """A worker's report that waits for its answer."""
 
     report: Report
     relayed: bool
@@ -49,28 +49,29 @@
 
 
 class KeysChanged(msgspec.Struct, frozen=True, eq=False):
-    """Keys changed in the state service."""
+    """Keys have changed in the state service."""
 
     changes: list[Change]
 
 
 class TransactionAnswered(msgspec.Struct, frozen=True, eq=False):
-    """Our transaction was answered.
+    """The leader's transaction was answered.
 
-    ``stamps`` has what is on record where guards failed. No outcome: it was refused for good.
+    ``revisions`` holds the current revisions of the keys whose guards failed. ``outcome`` is None if the state service
+    rejected the transaction permanently.
     """
 
     txn: Transaction
     outcome: Outcome | None
-    stamps: dict[str, int]
+    revisions: dict[str, int]
 
 
 class WriterReady(msgspec.Struct, frozen=True, eq=False):
-    """The writer may take the next transaction."""
+    """The writer can take the next transaction."""
 
 
 class OrdersAnswered(msgspec.Struct, frozen=True, eq=False):
-    """Orders were pushed to a machine, which answered with its report or (None) not at all."""
+    """A push of orders to a machine ended; ``report`` is None if the machine did not answer."""
 
     host: str
     attempts: list[int]
@@ -85,7 +86,7 @@
 
 
 class RentalAnswered(msgspec.Struct, frozen=True, eq=False):
-    """A rental's end: the machines, or none."""
+    """A rental has finished with these machines, possibly none."""
 
     name: str
     offer: Offer
@@ -94,31 +95,31 @@
 
 
 class DeletionAnswered(msgspec.Struct, frozen=True, eq=False):
-    """A deletion was confirmed by the cloud, or not."""
+    """A deletion has finished; ``confirmed`` says whether the cloud confirmed it."""
 
     hosts: list[str]
     confirmed: bool
 
 
 class CancellationsLearned(msgspec.Struct, frozen=True, eq=False):
-    """Cancellations that other controllers tell of; with these every one confirmed before ``known_at`` is known."""
+    """Cancellations reported by other controllers; all that were confirmed before ``known_at`` are known now."""
 
     uids: list[str]
     known_at: float = -math.inf
 
 
 class NoOtherLeader(msgspec.Struct, frozen=True, eq=False):
-    """Every other controller has said, since our term began, that it is not leader."""
+    """Every other controller has stated, since this term began, that it is not the leader."""
 
 
 class ControllersChecked(msgspec.Struct, frozen=True, eq=False):
-    """Whether any controller of each zone answered when all were last asked."""
+    """For each zone, whether any of its controllers answered the last check."""
 
     reachable: dict[str, bool]
 
 
-class Tick(msgspec.Struct, frozen=True, eq=False):
-    """Time passes."""
+class TimerFired(msgspec.Struct, frozen=True, eq=False):
+    """The periodic timer of the leader loop has fired."""
 
 
 Message = (
@@ -133,5 +134,5 @@
     | CancellationsLearned
     | NoOtherLeader
     | ControllersChecked
-    | Tick
+    | TimerFired
 )
--- a/ladderfield/leader/resignation.py
+++ b/ladderfield/leader/resignation.py
@@ -1,4 +1,4 @@
-"""A leader that workers can't reach makes way, in order, for a controller that they can."""
+"""An orderly handover: a leader that workers can't reach resigns in favour of a controller that they can."""
 
 from __future__ import annotations
 
@@ -19,18 +19,20 @@
 
 log = logging.getLogger(__name__)
 
-LOOK = 0.05  # of report_s: how often a write under way is looked at
-AGAIN = 2.0  # of report_s: the pause after a resignation that was not carried through
+POLL_REPORT_INTERVALS = 0.05  # poll period while a write is unanswered
+RETRY_REPORT_INTERVALS = 2.0  # pause after an abandoned resignation
 
 
 class Resignation:
-    """Resigns for one leader: no new claims, the write under way answered, on record, over, the lease released.
+    """Resigns one leader.
 
-    Claims stand and services run on. The term is over here before the lease is released, so nothing is decided by an
-    epoch that another may already follow. Each step asks anew whether it is still right: a cut may have healed.
+    The steps are: make no new claims, wait until the current write is answered, record the resignation, end the term,
+    release the lease. Claims stay valid and services keep running. The term ends before the lease is released, so
+    nothing is decided under an epoch that a successor may already have replaced. Each step checks again whether
+    resigning is still right, as the network cut may have healed.
     """
 
-    nursery: trio.Nursery  # where it runs
+    nursery: trio.Nursery  # runs the resignation
 
     def __init__(
         self,
@@ -47,11 +49,11 @@
         self.rollout, self.writer, self.client, self.view = rollout, writer, client, view
         self.report_s = reachability.report_s
         self.history = ResignationHistory(reachability.lease_s)
-        self._term_from = trio.current_time()
-        self._not_before = self._term_from
+        self._term_started_at = trio.current_time()
+        self._not_before = self._term_started_at
 
     def consider(self, now: float) -> None:
-        """Begin to resign if that is due."""
+        """Start to resign if that is due."""
         if self.term.resigning or now < self._not_before or self.better_peer(now) is None:
             return
         if not self.rollout.reach_everywhere or time.time() < self._backoff_until():
@@ -60,46 +62,47 @@
         self.nursery.start_soon(self._resign)
 
     def better_peer(self, now: float) -> str | None:
-        """For whom to make way, as far as is known now; only while the lease is surely ours, so that it can be done."""
+        """Return the peer to resign for, if any. None unless this leader surely holds the lease and can release it."""
         if not self.term.authority().lease_holds(now):
             return None
         own = self.reachability.total(now)
-        return self.succession.should_resign(own, self.reachability.cut, self._term_from, now)
+        return self.succession.should_resign(own, self.reachability.cut, self._term_started_at, now)
 
     def _backoff_until(self) -> float:
-        """The time of day before which nobody should resign again, whoever resigned last."""
+        """The wall clock time before which no leader should resign again, whichever resigned last."""
         return self.history.not_before(self.view.get(RESIGNATIONS), time.time())
 
     async def _resign(self) -> None:
+        """Go through the steps of the resignation, and abandon it if one fails or the peer is no longer better."""
         peer = self.better_peer(trio.current_time())
         log.info("epoch %d: resigns, as %s reaches more workers", self.term.epoch, peer)
-        if await self._settle() and await self._record():
+        if await self._wait_for_write() and await self._record():
             peer = self.better_peer(trio.current_time())
             if peer is not None:
                 self.succession.resigned_at = trio.current_time()
                 self.term.released = True
                 self.term.end(f"resigned, as {peer} reaches more workers")
                 return
-        log.info("epoch %d: does not resign after all", self.term.epoch)
+        log.info("epoch %d: resignation abandoned", self.term.epoch)
         self.term.resigning = False
-        self._not_before = trio.current_time() + AGAIN * self.report_s
+        self._not_before = trio.current_time() + RETRY_REPORT_INTERVALS * self.report_s
 
-    async def _settle(self) -> bool:
-        """Let the write under way be answered, for as long as the lease surely lasts; whether it was."""
+    async def _wait_for_write(self) -> bool:
+        """Wait, at most for the lease, until the current write is answered; whether to go on resigning."""
         with trio.move_on_after(self.term.ttl):
             while self.writer.unanswered:
-                await trio.sleep(LOOK * self.report_s)
+                await trio.sleep(POLL_REPORT_INTERVALS * self.report_s)
             return self.better_peer(trio.current_time()) is not None
         return False
 
     async def _record(self) -> bool:
-        """Put the resignation on record, so that the next leaders stay in office for a while."""
+        """Record the resignation, so that the next leaders don't resign for a while; whether it succeeded."""
         guards = {EPOCH: self.term.stamp, RESIGNATIONS: self.view.stamp(RESIGNATIONS)}
         value = self.history.next(self.view.get(RESIGNATIONS), self.member, time.time())
         try:
             await self.client.leader_writes.take(urgent=True)
             outcome = await self.client.commit(guards, {RESIGNATIONS: value}, [], self.term.ttl / 2)
         except StateServiceError as error:
-            log.info("epoch %d: the resignation is not on record: %s", self.term.epoch, error)
+            log.info("epoch %d: the resignation could not be recorded: %s", self.term.epoch, error)
             return False
         return outcome.failed is None
--- a/ladderfield/leader/test_ledger.py
+++ b/ladderfield/leader/test_ledger.py
@@ -1,4 +1,4 @@
-"""What the leader puts on record, and under which guards."""
+"""The leader's transactions and their guards."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from ladderfield.view import Change
 
 
-def test_every_write_is_guarded_by_the_epoch_and_the_records_versions() -> None:
+def test_every_transaction_is_guarded_by_the_epoch_and_record_revisions() -> None:
     harness = SchedulerHarness()
     harness.submit(rungs=1)
     harness.report()
@@ -19,24 +19,27 @@
     txn = harness.ledger.collect(True)
     assert txn is not None and txn.guards == {EPOCH: 3, "lf/f/req-000001": 0}
     harness.ledger.applied(txn, 12, 1.0)
-    assert harness.ledger.collect(True) is None, "a record that names the job may still come"
+    assert harness.ledger.collect(True) is None, (
+        "the job's final state was not seen in the view yet, so another record may still name the job"
+    )
     harness.tell()
     txn = harness.ledger.collect(True)
     assert txn is not None and txn.guards == {EPOCH: 3, "lf/j/req-000001": 5} and txn.deletes == ["lf/j/req-000001"]
 
 
-def test_a_job_on_two_records_counts_once_and_both_go_with_the_last_of_their_jobs() -> None:
+def test_a_job_on_two_records_is_kept_once_and_each_record_is_deleted_with_its_last_job() -> None:
     harness = SchedulerHarness()
-    one, two = job("req-000001", rungs=1), job("req-000002", rungs=1)
+    first, second = job("req-000001", rungs=1), job("req-000002", rungs=1)
     harness.scheduler.take_changes(
-        [Change("lf/j/req-000001", accepted(one), 5), Change("lf/j/req-000002", accepted(two, one), 6)], 0.0
+        [Change("lf/j/req-000001", accepted(first), 5), Change("lf/j/req-000002", accepted(second, first), 6)], 0.0
     )
     assert list(harness.scheduler.jobs) == ["req-000001", "req-000002"]
     harness.tell("req-000001")
     txn = harness.ledger.collect(True)
     assert txn is not None and txn.deletes == ["lf/j/req-000001"]
     harness.ledger.applied(txn, 12, 1.0)
-    # Read anew, a batch is not in the order of time: the end may stand before the record that names the job.
+    # Changes from a full read of the state are not in chronological order: a job's final state may come before the
+    # record that names the job.
     late = Change("lf/j/req-000003", accepted(job("req-000003", rungs=1)), 13)
     harness.scheduler.take_changes([Change("lf/f/req-000003", {"phase": "done"}, 14), late], 0.0)
     harness.tell("req-000002")
@@ -45,7 +48,7 @@
     assert txn is not None and set(txn.deletes) == {"lf/j/req-000002", "lf/j/req-000003"}
 
 
-def test_done_is_reaped_only_after_it_is_on_record() -> None:
+def test_a_finished_attempt_is_reaped_only_after_its_end_is_recorded() -> None:
     harness = SchedulerHarness()
     attempt = launched(harness, 2)
     orders = harness.report(rungs=(rung(0, attempt, "exited", "done"),), now=2.0)
@@ -55,12 +58,12 @@
     assert [(order["verb"], order["try"]) for order in orders if order["verb"] == "reap"] == [("reap", attempt)]
 
 
-def test_a_stale_record_is_written_again_under_its_present_version() -> None:
+def test_a_page_with_a_failed_guard_is_written_again_under_its_current_revision() -> None:
     harness = SchedulerHarness()
     harness.submit(rungs=1)
     harness.report()
     txn = harness.ledger.collect(True)
     assert txn is not None
-    harness.ledger.restamp(txn, {"lf/p/0": 15})
+    harness.ledger.retry_with_revisions(txn, {"lf/p/0": 15})
     txn = harness.ledger.collect(True)
     assert txn is not None and txn.guards["lf/p/0"] == 15 and "req-000001" in txn.puts["lf/p/0"]
--- a/ladderfield/leader/test_orders.py
+++ b/ladderfield/leader/test_orders.py
@@ -1,4 +1,4 @@
-"""What goes out to machines while their reports come in."""
+"""Pushes to machines and calls to the cloud when a session or the leader's lease ends meanwhile."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 from ladderfield.testing.leader import claimed_leader, session_report
 
 
-async def test_orders_made_for_a_session_that_ends_meanwhile_are_for_that_session(
+async def test_a_push_names_the_session_that_its_orders_were_made_for_even_if_it_has_ended(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The claim ends with the session, so that the task may start elsewhere: its launch must not begin it there too."""
+    """The claim ends with the session and the task may start elsewhere, so its launch must not start it here too."""
     leader = claimed_leader()
     sent: list[Any] = []
 
@@ -28,7 +28,7 @@
     monkeypatch.setattr(Client, "call", call)
     async with trio.open_nursery() as nursery:
         leader.dispatcher.nursery = nursery
-        leader.dispatcher.dispatch(0.1)  # the call is yet to be made
+        leader.dispatcher.dispatch(0.1)  # starts the push task, which makes its call later
         leader.scheduler.sessions.report(session_report(2, 2), 0.1, answering=True)
         assert not leader.scheduler.machines["m"].claims
         await trio.sleep(0.1)
@@ -36,8 +36,8 @@
     assert [(body["tenure"], [order["verb"] for order in body["orders"]]) for body in sent] == [(1, ["launch"])]
 
 
-async def test_a_push_carries_no_launch_without_the_lease(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The claim is on record, but another may be leader, and the job confirmed as cancelled there."""
+async def test_a_push_contains_no_launch_after_the_leader_lease_has_expired(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The claim is recorded, but another controller may be leader and have confirmed the job as cancelled."""
     leader = claimed_leader()
     sent: list[Any] = []
 
@@ -48,16 +48,16 @@
     monkeypatch.setattr(Client, "call", call)
     async with trio.open_nursery() as nursery:
         leader.dispatcher.nursery = nursery
-        lease_over = leader.term.renewed_at + leader.term.ttl
+        lease_end = leader.term.renewed_at + leader.term.ttl
         leader.dispatcher.request("m")
-        leader.dispatcher.dispatch(lease_over)
+        leader.dispatcher.dispatch(lease_end)
         await trio.sleep(0.1)
         nursery.cancel_scope.cancel()
     assert [order for body in sent for order in body["orders"]] == []
-    assert leader.scheduler.machines["m"].claims, "the claim stands"
+    assert leader.scheduler.machines["m"].claims, "the claim stays valid"
 
 
-async def test_hires_and_deletions_are_decided_when_their_turn_at_the_cloud_comes(
+async def test_rentals_and_deletions_are_authorised_after_the_wait_for_the_cloud_rate_limit(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     leader = claimed_leader()
@@ -67,8 +67,8 @@
         allowed.append(arguments[-1]())
         return []
 
-    async def delete(hosts: list[str], may: Callable[[], bool]) -> None:
-        allowed.append(may())
+    async def delete(hosts: list[str], may_delete: Callable[[], bool]) -> None:
+        allowed.append(may_delete())
 
     monkeypatch.setattr(leader.cloud_tasks.cloud, "rent", rent)
     monkeypatch.setattr(leader.cloud_tasks.cloud, "delete", delete)
@@ -79,17 +79,19 @@
     assert allowed == [True, True, False, False]
 
 
-async def test_nothing_is_rented_returned_or_deleted_without_the_lease(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_nothing_is_rented_returned_or_deleted_after_the_leader_lease_has_expired(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     leader = claimed_leader()
-    asked: list[str] = []
+    actions: list[str] = []
 
     async def delete(hosts: list[str]) -> None:
-        asked.extend(hosts)
+        actions.extend(hosts)
 
     monkeypatch.setattr(leader.cloud_tasks, "delete", delete)
 
     def plan(now: float) -> list[str]:
-        asked.append("planned")
+        actions.append("planned")
         return []
 
     monkeypatch.setattr(leader.fleet, "_plan", plan)
@@ -97,7 +99,7 @@
         leader.fleet.nursery = nursery
         leader.fleet.manage(["m"], leader.term.renewed_at + leader.term.ttl)
         await trio.sleep(0.1)
-        assert asked == []
+        assert actions == []
         leader.fleet.manage(["m"], leader.term.renewed_at)
         await trio.sleep(0.1)
-    assert asked == ["planned", "m"]
+    assert actions == ["planned", "m"]
--- a/ladderfield/leader/test_pages.py
+++ b/ladderfield/leader/test_pages.py
@@ -1,4 +1,4 @@
-"""Records shared by many jobs: what a transaction holds, and what a takeover makes of pages that are out of date."""
+"""Pages: what a transaction writes, and how a takeover reads pages that are out of date."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 from ladderfield.testing import accepted, job
 from ladderfield.testing.leader import ABOUT, EPOCH_NOW, SchedulerHarness, rung
 
-NEW = EPOCH_NOW << 32
+ATTEMPT_BASE = EPOCH_NOW << 32
 
 
 def taken_over(*pages: dict[str, Any], finals: dict[str, Any] | None = None, tasks: int = 2) -> SchedulerHarness:
-    """A leader that found a job and these pages on record."""
+    """A leader that took over with a job and these pages recorded."""
     data: dict[str, Any] = {"lf/j/req-000001": (accepted(job(rungs=tasks)), 4)}
     hosts = {"m": ABOUT, "n": ABOUT}
     data |= {f"lf/p/{number}": ({"hosts": hosts, "req-000001": page}, 6 + number) for number, page in enumerate(pages)}
     return SchedulerHarness(data | {f"lf/f/{uid}": (value, 9) for uid, value in (finals or {}).items()})
 
 
-def binding(harness: SchedulerHarness) -> dict[int, int]:
-    """The claims that bind: task to attempt."""
+def binding_claims(harness: SchedulerHarness) -> dict[int, int]:
+    """The attempts of binding claims by task index."""
     claims = [claim for machine in harness.scheduler.machines.values() for claim in machine.claims.values()]
     return {claim.index: claim.attempt for claim in claims}
 
 
-def test_many_jobs_need_one_change() -> None:
-    """Grown deployments: a record for each job was more changes a second than the state service allows."""
+def test_claims_of_many_jobs_are_recorded_with_one_change() -> None:
+    """One record per job exceeded the state service's limit of changes per second in large deployments."""
     harness = SchedulerHarness()
     for number in range(1, 31):
         harness.submit(f"req-{number:06}", owner="blue", rungs=3)
@@ -39,7 +39,7 @@
     assert txn is not None and txn.ops == 1 and sum(len(claims) for claims, _ in txn.pages.values()) == 90
 
 
-def test_the_ends_of_tasks_go_along_with_claims_but_cause_no_write_of_their_own() -> None:
+def test_ends_of_tasks_are_recorded_with_claims_but_cause_no_transaction_of_their_own() -> None:
     harness = SchedulerHarness()
     harness.submit(rungs=5, cores=4.0, owner="blue")
     harness.report()
@@ -57,7 +57,7 @@
     assert attempt not in [value[0] for value in page["req-000001"]["a"].values()]
 
 
-def test_pages_hold_no_more_than_the_state_service_takes() -> None:
+def test_no_page_exceeds_the_value_size_limit_of_the_state_service() -> None:
     harness = SchedulerHarness()
     uids = [f"req-{10**17 + number}" for number in range(50)]
     for uid in uids:
@@ -76,7 +76,7 @@
     assert all(encoded_size(page) <= page.size + 2 for page in harness.scheduler.pages.pages)
 
 
-def test_the_emptiest_page_is_used_again() -> None:
+def test_the_emptiest_page_is_reused() -> None:
     harness = SchedulerHarness()
     harness.submit(rungs=400, owner="blue", cores=4.0)
     now = 2.0
@@ -90,34 +90,36 @@
     assert len(harness.scheduler.pages.pages) <= 2
 
 
-def test_of_two_claims_on_record_the_later_attempt_counts() -> None:
+def test_of_two_recorded_claims_of_a_task_the_later_attempt_counts() -> None:
     harness = taken_over({"a": {"0": [99, "m"]}}, {"a": {"0": [100, "n"]}})
-    assert binding(harness) == {0: 100}
+    assert binding_claims(harness) == {0: 100}
     assert harness.scheduler.teams.cpus["red"] == 2.0
     harness.report("m", (rung(0, 99),))
-    assert harness.scheduler.machines["m"].seen, "it would be stopped as nobody's"
+    assert harness.scheduler.machines["m"].seen, "the machine lists attempt 99, which has no claim and would be stopped"
 
 
-def test_a_claim_of_a_finished_task_does_not_bind() -> None:
+def test_a_recorded_claim_of_a_finished_task_is_ignored() -> None:
     harness = taken_over({"a": {"0": [99, "m"]}}, {"d": [[0, 0]]})
-    assert binding(harness) == {} and harness.scheduler.jobs["req-000001"].finished == {0}
+    assert binding_claims(harness) == {} and harness.scheduler.jobs["req-000001"].finished == {0}
 
 
-def test_what_pages_say_of_a_job_that_is_done_counts_for_nothing() -> None:
+def test_page_entries_of_a_job_that_is_done_are_ignored_and_removed() -> None:
     harness = taken_over({"a": {"1": [99, "m"]}, "d": [[0, 0]]}, finals={"req-000001": {"phase": "done"}})
-    assert binding(harness) == {}
+    assert binding_claims(harness) == {}
     harness.record()
     assert not harness.scheduler.jobs and harness.scheduler.pages.pages[0].value() == {}
 
 
-def test_a_cancelled_jobs_claims_bind_until_they_are_gone() -> None:
+def test_claims_of_a_cancelled_job_bind_until_its_attempts_have_exited() -> None:
     harness = taken_over({"a": {"1": [99, "m"]}}, finals={"req-000001": {"phase": "cancelled", "at": 995.0}})
-    assert binding(harness) == {1: 99}
+    assert binding_claims(harness) == {1: 99}
     harness.record()
     assert "req-000001" in harness.scheduler.jobs, (
-        "hunted day, ran_cancelled: it was cleared away with its task still on"
+        "the job must not be removed while its task may still run (ran_cancelled in a simulated day)"
+    )
+    assert harness.scheduler.sweep(11.0) == ["m"], (
+        "half of cancel_s after the cancellation was confirmed, the machine is to be deleted"
     )
-    assert harness.scheduler.sweep(11.0) == ["m"], "and half of cancel_s after its user was told, the machine goes"
     (order,) = harness.report("m", (rung(1, 99),))
     assert order["verb"] == "stop"
     harness.report("m", (rung(1, 99, "exited", "stopped"),))
@@ -125,31 +127,31 @@
     assert not harness.scheduler.jobs
 
 
-def test_tasks_that_finished_are_all_on_record_whichever_page_has_them() -> None:
+def test_finished_tasks_are_read_from_all_pages_and_stay_recorded() -> None:
     harness = taken_over({"d": [[0, 2]]}, {"d": [[4, 4]], "a": {"3": [99, "m"]}}, tasks=6)
-    one = harness.scheduler.jobs["req-000001"]
-    assert one.finished == {0, 1, 2, 4}
-    claim: Claim = one.claims[3]
+    found = harness.scheduler.jobs["req-000001"]
+    assert found.finished == {0, 1, 2, 4}
+    claim: Claim = found.claims[3]
     harness.scheduler.end(claim, True, 1.0)
     harness.record()
-    assert not one.unsettled and sum(len(page.done.get(one, ())) for page in harness.scheduler.pages.pages) == 5
+    assert not found.unsettled and sum(len(page.done.get(found, ())) for page in harness.scheduler.pages.pages) == 5
 
 
-def test_a_failed_write_is_made_good_with_all_that_was_in_it() -> None:
+def test_a_transaction_with_failed_guards_is_written_again_with_all_its_claims() -> None:
     harness = SchedulerHarness()
     harness.submit(rungs=2)
     harness.report()
     first = harness.ledger.collect(True)
     assert first is not None
-    harness.ledger.restamp(first, {"lf/p/0": 15})
+    harness.ledger.retry_with_revisions(first, {"lf/p/0": 15})
     assert all(not claim.recorded for claim in harness.machine().claims.values())
-    again = harness.ledger.collect(True)
-    assert again is not None and again.guards["lf/p/0"] == 15
-    harness.ledger.applied(again, 16, 1.0)
+    second = harness.ledger.collect(True)
+    assert second is not None and second.guards["lf/p/0"] == 15
+    harness.ledger.applied(second, 16, 1.0)
     assert all(claim.recorded for claim in harness.machine().claims.values())
 
 
-def test_a_small_budget_takes_finals_and_claims_in_turn() -> None:
+def test_a_small_transaction_holds_both_final_states_and_claims() -> None:
     harness = SchedulerHarness()
     for number in range(1, 9):
         harness.submit(f"req-{number:06}", rungs=1, owner="blue", cores=4.0)
--- a/ladderfield/leader/test_sessions.py
+++ b/ladderfield/leader/test_sessions.py
@@ -1,4 +1,4 @@
-"""When a claim may begin, when it ends, and what workers are told."""
+"""When claims may be launched, when they end, and which orders workers get."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from ladderfield.view import Change
 
 
-def test_no_launch_before_the_claim_is_on_record() -> None:
+def test_a_task_is_not_launched_before_its_claim_is_recorded() -> None:
     harness = SchedulerHarness()
     harness.submit(rungs=1)
     assert harness.report() == []
@@ -16,45 +16,49 @@
     assert order["verb"] == "launch" and order["try"] >> 32 == EPOCH_NOW
 
 
-def test_a_launch_by_orders_without_an_answer_is_resent_and_never_reaped() -> None:
+def test_a_pushed_launch_without_an_answer_is_resent_and_not_reaped_until_answered() -> None:
     harness = SchedulerHarness()
     machine, order = launched_by_push(harness)
-    assert harness.report(now=2.0) == [], "absence proves nothing while a copy may come"
+    assert harness.report(now=2.0) == [], "the attempt isn't listed, but a copy of the launch may still arrive"
     assert len(machine.claims) == 1
-    (again,) = harness.report(now=9.0)
-    assert again["try"] == order["try"]
+    (resent,) = harness.report(now=9.0)
+    assert resent["try"] == order["try"]
     harness.report(rungs=(rung(0, order["try"], "exited", "done"),), now=10.0)
     harness.record()
     assert harness.report(rungs=(rung(0, order["try"], "exited", "done"),), now=11.0) == []
-    harness.scheduler.sessions.answered(machine, [order["try"]], True)
+    harness.scheduler.sessions.orders_answered(machine, [order["try"]], True)
     (reap,) = harness.report(rungs=(rung(0, order["try"], "exited", "done"),), now=12.0)
     assert reap["verb"] == "reap"
 
 
-def test_two_unanswered_copies_need_two_answers() -> None:
+def test_each_unanswered_push_of_a_launch_needs_its_own_answer() -> None:
     harness = SchedulerHarness()
     machine, order = launched_by_push(harness)
     harness.scheduler.sessions.orders(machine, 9.0, None)
-    harness.scheduler.sessions.answered(machine, [order["try"]], True)
+    harness.scheduler.sessions.orders_answered(machine, [order["try"]], True)
     assert machine.unanswered_launches == {order["try"]: 1}
 
 
-def test_a_new_session_ends_claims_of_the_old_one_but_not_unsent_ones() -> None:
+def test_a_new_session_ends_claims_sent_to_the_old_session_but_not_unsent_ones() -> None:
     harness = SchedulerHarness()
     launched(harness, 1)
     harness.submit("req-000002", rungs=1)
     harness.scheduler.schedule(2.0)
     assert len(harness.machine().claims) == 2
     harness.report(tenure=2, now=15.0)
-    held = harness.machine().claims
-    assert ("req-000002", 0) in held
-    assert held["req-000001", 0].sent_tenure is None, "ended, and claimed anew under another attempt"
+    claims = harness.machine().claims
+    assert ("req-000002", 0) in claims
+    assert claims["req-000001", 0].sent_tenure is None, (
+        "the sent claim ended, and the task was claimed again under another attempt"
+    )
 
 
-def test_an_inherited_claim_binds_until_the_machine_has_taken_our_epoch() -> None:
+def test_an_inherited_claim_binds_until_the_machine_has_accepted_the_epoch() -> None:
     harness = SchedulerHarness(inherited())
     assert harness.report(epoch=6) == []
-    assert next(iter(harness.machine().claims.values())).attempt == 99, "an old order may still come"
+    assert next(iter(harness.machine().claims.values())).attempt == 99, (
+        "an order of the earlier leader may still arrive"
+    )
     harness.report("other")
     assert not harness.machine("other").claims
     harness.report(epoch=EPOCH_NOW, now=2.0)
@@ -62,7 +66,7 @@
     assert len(attempts) == 1 and attempts[0] >> 32 == EPOCH_NOW
 
 
-def test_a_late_report_is_not_believed() -> None:
+def test_a_report_older_than_the_last_one_is_ignored() -> None:
     harness = SchedulerHarness()
     attempt = launched(harness, 1)
     harness.report(rungs=(rung(0, attempt),), now=2.0)
@@ -71,7 +75,7 @@
     assert harness.machine().seen == {("req-000001", 0): (attempt, "running")}
 
 
-def test_cancelled_tasks_are_stopped_and_none_starts() -> None:
+def test_tasks_of_cancelled_jobs_are_stopped_and_none_starts() -> None:
     harness = SchedulerHarness()
     attempt = launched(harness, 1)
     harness.submit("req-000002", rungs=1)
@@ -84,7 +88,7 @@
     assert not harness.scheduler.jobs
 
 
-def test_a_checkpointing_task_gets_time_to_save_but_not_when_cancelled() -> None:
+def test_a_checkpointing_task_gets_time_to_save_after_an_interruption_notice() -> None:
     harness = SchedulerHarness()
     attempt = launched(harness, 1, markEveryS=10.0, markCostS=3.0)
     harness.report(rungs=(rung(0, attempt),), now=2.0)
@@ -92,7 +96,7 @@
     assert order["verb"] == "stop" and order["windDownS"] >= 3.0
 
 
-def test_a_task_nobody_claims_is_stopped() -> None:
+def test_a_listed_task_without_a_claim_is_stopped() -> None:
     harness = SchedulerHarness()
     (order,) = harness.report(rungs=(rung(0, 5),))
     assert (order["verb"], order["try"]) == ("stop", 5)
