--- a/ladderfield/leader/actor.py
+++ b/ladderfield/leader/actor.py
@@ -210,10 +210,10 @@
             return
         machine = self.scheduler.sessions.report(report, now, answering=True)
         orders: list[Order] = []
-        if machine is not None and (report.tenure, report.tick) == (machine.tenure, machine.tick):
-            machine.came(message.relayed, now)
+        if machine is not None and (report.session, report.sequence) == (machine.session, machine.sequence):
+            machine.note_route(message.relayed, now)
             may_launch = authority.allows(Decision.LAUNCH, now)
-            orders = self.scheduler.sessions.orders(machine, now, report.tick, may_launch)
+            orders = self.scheduler.sessions.orders(machine, now, report.sequence, may_launch)
         message.answer.set(ReportAnswer(self.term.epoch, orders))
 
     def _saw_later_epoch(self, report: Report, authority: Authority, now: float) -> bool:
@@ -260,14 +260,15 @@
             # Counts only for a machine that reports to this controller directly: one that is silent or relayed is
             # unreachable from here anyway.
             heard_recently = (
-                machine.heard_at is not None and now - machine.heard_at <= OVERDUE_REPORT_INTERVALS * self.report_s
+                machine.last_report_at is not None
+                and now - machine.last_report_at <= OVERDUE_REPORT_INTERVALS * self.report_s
             )
             if heard_recently and not machine.relayed:
                 self.scheduler.sessions.note_ignored_message(machine, 1, now)
             return
         if self._saw_later_epoch(message.report, self.term.authority(), now):
             return
-        if message.report.tenure >= machine.tenure:
+        if message.report.session >= machine.session:
             self.scheduler.sessions.orders_answered(machine, message.attempts, message.executed)
         self.scheduler.sessions.report(message.report, now, answering=False)
         if not message.executed or machine.epoch != self.term.epoch:
--- a/ladderfield/leader/cloud_tasks.py
+++ b/ladderfield/leader/cloud_tasks.py
@@ -8,7 +8,7 @@
 
 from ladderfield.connectivity.authority import Decision
 from ladderfield.fleet.capacity import Rental
-from ladderfield.fleet.cloud import LIST_MOST, Cloud, CloudError, NoCapacityError
+from ladderfield.fleet.cloud import MAX_LISTED_PER_CALL, Cloud, CloudError, NoCapacityError
 from ladderfield.jobs.model import FULL, TYPES, parse_types, types_record
 from ladderfield.leader.messages import DeletionAnswered, MachinesListed, Message, RentalAnswered
 from ladderfield.leadership import EPOCH
@@ -48,7 +48,7 @@
             calls = 1
             try:
                 hosts = await self.cloud.list()
-                calls += len(hosts) // LIST_MOST
+                calls += len(hosts) // MAX_LISTED_PER_CALL
                 await self.inbox.send(MachinesListed(hosts))
             except CloudError as error:
                 log.debug("machine list failed: %s", error)
--- a/ladderfield/leader/dispatcher.py
+++ b/ladderfield/leader/dispatcher.py
@@ -28,7 +28,7 @@
 
 def _has_unsent_stop(machine: Machine) -> bool:
     """Whether a claim on the machine is being stopped and no stop order was sent yet."""
-    return any(claim.stopping is not None and claim.stop_at == -math.inf for claim in machine.claims.values())
+    return any(claim.stop_reason is not None and claim.stop_sent_at == -math.inf for claim in machine.claims.values())
 
 
 class Dispatcher:
@@ -65,7 +65,7 @@
     def may_be_unreachable(self, machine: Machine, now: float) -> bool:
         """Whether the machine's report is overdue or it does not receive our answers."""
         return (
-            machine.not_hearing_since is not None
+            machine.unreachable_since is not None
             or machine.silent_for(now, self.scheduler.term_from) > OVERDUE_REPORT_INTERVALS * self.report_s
         )
 
@@ -74,7 +74,7 @@
         for machine in self.scheduler.machines.values():
             if machine.claims and machine.epoch == self.term.epoch and _has_unsent_stop(machine):
                 self.request(machine.host)
-            elif machine.up_at is not None and self.may_be_unreachable(machine, now):
+            elif machine.first_report_at is not None and self.may_be_unreachable(machine, now):
                 self.request(machine.host)  # it may still receive pushes while it searches for the leader
 
     def dispatch(self, now: float) -> None:
@@ -109,7 +109,7 @@
         self._in_flight[machine.host] = unreachable
         # The push names the session that these orders were made for. A later session must refuse them: its start has
         # ended the claim, so the launch would start the task a second time (ran_twice).
-        self.nursery.start_soon(self._push, machine, max(machine.tenure, 1), orders)
+        self.nursery.start_soon(self._push, machine, max(machine.session, 1), orders)
         return True
 
     async def _push(self, machine: Machine, target_session: int, orders: list[Order]) -> None:
--- a/ladderfield/leader/estimates.py
+++ b/ladderfield/leader/estimates.py
@@ -48,7 +48,7 @@
         """Record the arrival of a service, for ``arrival_rate``."""
         if job.spec.service:
             stream = (job.spec.job_class, job.spec.image)
-            self.arrivals[stream].append(job.at)
+            self.arrivals[stream].append(job.accepted_at)
             self.latest_service[stream] = job
 
     def arrival_rate(self, stream: ServiceStream, now: float) -> float:
@@ -81,15 +81,15 @@
     def _next_deadline(self, job: Job, earliest: float) -> float | None:
         """The first deadline of the job, or of the jobs that wait for it, that is not before ``earliest``."""
         if job.spec.deadline_s is not None:
-            deadlines = [job.at + times * job.spec.deadline_s for times in self.deadline_multiples]
+            deadlines = [job.accepted_at + times * job.spec.deadline_s for times in self.deadline_multiples]
         else:
-            deadlines = [job.since + within_s for within_s in self.finish_within_s.get(job.spec.job_class, ())]
+            deadlines = [job.ready_since + within_s for within_s in self.finish_within_s.get(job.spec.job_class, ())]
         if job.due is not None:
             until, allowed = job.due
             deadlines += [until - self.wall_offset + (times - 1) * allowed for times in self.deadline_multiples]
         max_wait_s = self.max_wait_s.get(job.spec.job_class)
         if max_wait_s is not None and not job.spec.service:
-            deadlines.append(job.since + max_wait_s + self.run_s(job))
+            deadlines.append(job.ready_since + max_wait_s + self.run_s(job))
         return min((deadline for deadline in deadlines if deadline >= earliest), default=None)
 
     def rating(self, job: Job, now: float) -> tuple[bool, int]:
@@ -108,11 +108,11 @@
     def has_waited_long(self, job: Job, now: float) -> bool:
         """Whether an array has waited long enough to use the capacity reserved for old jobs."""
         max_wait_s = min(self.max_wait_s.get(job.spec.job_class, MAX_START_WAIT_S), MAX_START_WAIT_S)
-        return not job.spec.service and now - job.since > OLD_JOB_WAIT_SHARE * max_wait_s
+        return not job.spec.service and now - job.ready_since > OLD_JOB_WAIT_SHARE * max_wait_s
 
     def ready_step(self, job: Job) -> int:
         """The time at which the job became ready, rounded to steps; a smaller number is an older job."""
-        return int(job.since / (READY_STEP_REPORT_INTERVALS * self.report_s))
+        return int(job.ready_since / (READY_STEP_REPORT_INTERVALS * self.report_s))
 
     def slack(self, job: Job, now: float) -> float:
         """How long the job's tasks can wait without missing the job's deadline; 0 if it can meet none."""
--- a/ladderfield/leader/failure_detector.py
+++ b/ladderfield/leader/failure_detector.py
@@ -14,7 +14,7 @@
 from ladderfield.leader.tables import SILENCE_REPORT_INTERVALS, LeaderTables
 from ladderfield.queues.work import task_name
 from ladderfield.workers.machine import UNKNOWN, Machine
-from ladderfield.workers.report import ANSWER_S, NEXT_S
+from ladderfield.workers.report import ANSWER_TIMEOUT_S, NEXT_CONTROLLER_DELAY_S
 from ladderfield.zones.evidence import ZoneCounts
 
 log = logging.getLogger(__name__)
@@ -39,7 +39,7 @@
         self.cut_zones: set[str] = set()
         # The longest time until a worker's report arrives through another controller if the worker can't reach the
         # leader: it waits for the leader's answer to time out, then tries the next controllers.
-        self._reroute_s = MAX_GAP_REPORT_INTERVALS * tables.report_s + ANSWER_S + 2 * NEXT_S
+        self._reroute_s = MAX_GAP_REPORT_INTERVALS * tables.report_s + ANSWER_TIMEOUT_S + 2 * NEXT_CONTROLLER_DELAY_S
         self._lost_together_s = LOST_TOGETHER_LEASES * tables.lease_s
 
     def observe(self, now: float) -> None:
@@ -53,10 +53,12 @@
         for machine in tables.machines.values():
             # A machine may be unable to reach any controller while it receives our orders. Its lease expires, and every
             # task started there would end with it, so it gets no work.
-            last_report_at = machine.up_at if machine.reported_at is None else machine.reported_at
+            last_report_at = (
+                machine.first_report_at if machine.unsolicited_report_at is None else machine.unsolicited_report_at
+            )
             machine.cannot_report = last_report_at is not None and now - last_report_at > self._reroute_s
             unable_to_report += machine.cannot_report
-            if machine.heard_at is not None or machine.claims:
+            if machine.last_report_at is not None or machine.claims:
                 self._count(known.setdefault(machine.zone, ZoneCounts()), machine, now)
         self.majority_cannot_report = 2 * unable_to_report > len(tables.machines)
         all_counts = known.values()
@@ -73,13 +75,13 @@
         tables = self.tables
         zone.machines += 1
         silent = machine.silent_for(now, tables.term_from) > SILENCE_REPORT_INTERVALS * tables.report_s
-        newly_relayed = machine.relayed and now - machine.detour_at < NEWLY_RELAYED_LEASES * tables.lease_s
-        zone.impaired += silent or newly_relayed or machine.not_hearing_since is not None
+        newly_relayed = machine.relayed and now - machine.relayed_since < NEWLY_RELAYED_LEASES * tables.lease_s
+        zone.impaired += silent or newly_relayed or machine.unreachable_since is not None
         if silent:
             zone.silent += 1
             zone.lease_expired += now > self.lease_over_at(machine)
-        direct = not machine.relayed and machine.reported_at is not None
-        zone.reporting_directly += direct and now - (machine.reported_at or 0.0) <= WINDOW * tables.report_s
+        direct = not machine.relayed and machine.unsolicited_report_at is not None
+        zone.reporting_directly += direct and now - (machine.unsolicited_report_at or 0.0) <= WINDOW * tables.report_s
 
     def lease_over_at(self, machine: Machine) -> float:
         """The time by which the machine's lease has certainly expired."""
@@ -94,7 +96,7 @@
         sole_leader = unheard.holds(now)
         # After a takeover a machine may still be trying controllers that don't answer. A machine whose reports are
         # relayed is redirected to the leader from time to time and waits for a timeout before it goes back.
-        searching = machine.fresh_at is None
+        searching = machine.epoch_confirmed_at is None
         silence_limit_s = LOST_AFTER_REPORT_INTERVALS * tables.report_s
         if cut or (searching and not sole_leader):
             silence_limit_s = max(silence_limit_s, self._lost_together_s)
@@ -104,7 +106,7 @@
             # Keeps the machines of a zone whose partition heals: their tasks are restarted elsewhere once the lease has
             # expired, and waiting for the machine costs no more than booting another.
             silence_limit_s = max(silence_limit_s, tables.lease_s * CLOCKS + machine.kind.boot_s)
-        if machine.up_at is None:
+        if machine.first_report_at is None:
             # An earlier leader may still be answering the machine, whose tasks would then run well: deleting it would
             # kill them.
             until = unheard.since if self._mostly_silent else tables.earlier.zones.get(machine.zone, 0.0)
@@ -149,20 +151,20 @@
         if machine.listed == "failed":
             return "the cloud lists it as failed"
         silent, silence_limit_s = machine.silent_for(now, tables.term_from), self._silence_limit_s(machine, now)
-        booted = machine.heard_at is not None or machine.claims or machine.kind is UNKNOWN
+        booted = machine.last_report_at is not None or machine.claims or machine.kind is UNKNOWN
         silence_counts = tables.authority().allows(Decision.GIVE_UP_MACHINE, now)
         if booted and silent > silence_limit_s and silence_counts:
             return f"no valid report or answer for {silent:.1f} s"
-        if machine.not_hearing_since is not None:
+        if machine.unreachable_since is not None:
             # Replicas run on until the machine's lease expires; other work is better restarted elsewhere soon.
             replica_grace_s = self._lost_together_s if machine.replicas else 0.0
-            if now - machine.not_hearing_since > max(silence_limit_s, replica_grace_s):
+            if now - machine.unreachable_since > max(silence_limit_s, replica_grace_s):
                 return "it does not receive our answers"
         # Idle machines that were up before this term get time to find the new leader.
         takeover_settled = now - tables.term_from > self._lost_together_s
-        if not booted and takeover_settled and now - machine.born_at > BOOT_TIMEOUT_FACTOR * machine.kind.boot_s:
+        if not booted and takeover_settled and now - machine.created_at > BOOT_TIMEOUT_FACTOR * machine.kind.boot_s:
             return "it did not report within the boot timeout"
-        if machine.sick and not any(claim.job.spec.service for claim in machine.claims.values()):
+        if machine.faulty and not any(claim.job.spec.service for claim in machine.claims.values()):
             return "it is faulty"
         for claim in machine.claims.values():
             since = tables.cancelled_at.get(claim.job.uid)
--- a/ladderfield/leader/fleet_manager.py
+++ b/ladderfield/leader/fleet_manager.py
@@ -9,7 +9,7 @@
 
 from ladderfield.connectivity.authority import Decision
 from ladderfield.fleet.capacity import Offer, Rental
-from ladderfield.fleet.cloud import DELETE_MOST, RENT_MOST
+from ladderfield.fleet.cloud import MAX_DELETED_PER_CALL, MAX_RENTED_PER_CALL
 from ladderfield.fleet.plan import Planner
 from ladderfield.leader.cloud_tasks import CloudTasks
 from ladderfield.leader.dispatcher import Dispatcher
@@ -48,14 +48,14 @@
             except Exception:
                 # Planning only reads the tables, so a failed plan is skipped rather than ending the term.
                 log.exception("epoch %d: fleet planning failed", self.term.epoch)
-        due = [host for host in to_delete if host not in self._deleting][:DELETE_MOST]
+        due = [host for host in to_delete if host not in self._deleting][:MAX_DELETED_PER_CALL]
         if due and authority.allows(Decision.DELETE, now):
             self._deleting.update(due)
             self.nursery.start_soon(self.cloud_tasks.delete, due)
 
     def _plan(self, now: float) -> list[str]:
         """Rent and return machines; the result is the hosts to delete."""
-        returned = self.planner.returns(now)
+        returned = self.planner.machines_to_return(now)
         for machine in returned:
             log.info("machine %s: idle, returning it", machine.host)
             machine.deleting = True
@@ -67,12 +67,12 @@
 
     def _rent(self, rental: Rental) -> None:
         """Rent machines, split into several rentals where the cloud's limit for one is exceeded."""
-        for first in range(0, rental.count, RENT_MOST):
+        for first in range(0, rental.count, MAX_RENTED_PER_CALL):
             self._rental_count += 1
             # Unique: no other leader has this epoch, and the epoch was recorded before its first rental.
             name = f"lf-{self.term.epoch}-{self._rental_count}"
             self._renting[name] = rental.offer
-            count = min(RENT_MOST, rental.count - first)
+            count = min(MAX_RENTED_PER_CALL, rental.count - first)
             self.nursery.start_soon(self.cloud_tasks.rent, name, Rental(rental.offer, count))
 
     def on_machines_listed(self, message: MachinesListed, now: float) -> None:
@@ -86,7 +86,7 @@
                 continue
             machine.listed = entry.phase
             if is_new:
-                machine.born_at = now - entry.held_s
+                machine.created_at = now - entry.rented_s
                 log.info("machine %s: discovered in the cloud's list, %s", entry.host, entry.phase)
             if machine.endpoint and entry.phase == "running" and machine.epoch != self.term.epoch:
                 self.dispatcher.request(entry.host)  # so that it learns this leader's epoch
@@ -95,7 +95,7 @@
         """Add the machines of a finished rental."""
         self._renting.pop(message.name, None)
         if message.refused:
-            self.planner.refuse(message.offer, now)
+            self.planner.note_refusal(message.offer, now)
             self._planned_at = -math.inf  # plan again at once with other offers
         machine_type, zone, spot = message.offer
         for host in message.hosts:
@@ -107,6 +107,6 @@
         if message.confirmed:
             for host in message.hosts:
                 if host in self.scheduler.machines:
-                    self.planner.freed(self.scheduler.machines[host])
+                    self.planner.note_deleted(self.scheduler.machines[host])
                 self.scheduler.forget(host, now)
                 self.dispatcher.forget(host)
--- a/ladderfield/leader/ledger.py
+++ b/ladderfield/leader/ledger.py
@@ -84,7 +84,7 @@
             self._record_final_state(
                 txn, job, {"phase": DONE, "done": job.spec.tasks, "at": round(ended + scheduler.wall_offset, 3)}
             )
-        ends = {job: job.unsettled for job in scheduler.unrecorded_ends if job not in txn.finals}
+        ends = {job: job.unrecorded_done for job in scheduler.unrecorded_ends if job not in txn.finals}
         if scheduler.unrecorded_claims or (ends and (include_finished or txn.ops)):
             self._fill_pages(txn, ends)
         if (
@@ -212,10 +212,10 @@
             for claim in claims:
                 if not claim.recorded:
                     claim.recorded = True
-                    if claim.job.claims.get(claim.index) is claim and claim.stopping is None:
+                    if claim.job.claims.get(claim.index) is claim and claim.stop_reason is None:
                         scheduler.push(scheduler.machines[claim.host])
             for job, tasks in done.items():
-                job.unsettled -= tasks
+                job.unrecorded_done -= tasks
         for job, phase in txn.finals.items():
             log.info("job %s: %s", job.uid, phase)
             scheduler.final_state_written(job, phase, now)
@@ -261,7 +261,7 @@
                     page.drop_claim(claim)
                     large.add_claim(claim)
             for job, tasks in done.items():
-                if job.final is None:
+                if job.final_phase is None:
                     large.add_done(job, tasks)
         pages_to_rewrite = {*txn.pages, *pages.write_failed}
         pages.write_failed.clear()
@@ -270,8 +270,8 @@
                 page.drop_claim(claim)
                 scheduler.unrecorded_claims[claim] = None
             for job in list(page.done):
-                unrecorded_claims = page.done[job] & job.unsettled
+                unrecorded_claims = page.done[job] & job.unrecorded_done
                 page.drop_done(job, unrecorded_claims)
-                if unrecorded_claims and job.final is None:
+                if unrecorded_claims and job.final_phase is None:
                     scheduler.unrecorded_ends[job] = None
             pages.mark_dirty(page)
--- a/ladderfield/leader/messages.py
+++ b/ladderfield/leader/messages.py
@@ -8,7 +8,7 @@
 import trio
 
 from ladderfield.fleet.capacity import Offer
-from ladderfield.fleet.cloud import Listed
+from ladderfield.fleet.cloud import ListedMachine
 from ladderfield.leader.ledger import Transaction
 from ladderfield.state import Outcome
 from ladderfield.view import Change
@@ -82,7 +82,7 @@
 class MachinesListed(msgspec.Struct, frozen=True, eq=False):
     """The cloud's list of machines."""
 
-    hosts: list[Listed]
+    hosts: list[ListedMachine]
 
 
 class RentalAnswered(msgspec.Struct, frozen=True, eq=False):
--- a/ladderfield/leader/pages.py
+++ b/ladderfield/leader/pages.py
@@ -124,7 +124,7 @@
         for claim in self.claims:
             claims = value.setdefault(claim.job.uid, {}).setdefault("a", {})
             claims[str(claim.index)] = [claim.attempt, claim.host]
-            hosts[claim.host] = claim.about
+            hosts[claim.host] = claim.host_record
         if hosts:
             value[HOSTS] = hosts
         return value
@@ -132,7 +132,7 @@
 
 def host_bytes(claim: Claim) -> int:
     """Bytes that the entry of a claim's machine takes on a page."""
-    return len(encode(claim.host)) + len(encode(claim.about)) + 2
+    return len(encode(claim.host)) + len(encode(claim.host_record)) + 2
 
 
 def claim_bytes(claim: Claim) -> int:
@@ -174,7 +174,10 @@
             < self.max_page_bytes / 2
         ):
             return True
-        return 2 * len(encode(machine.host)) + len(encode(machine.about())) + ONE_CLAIM_PAGE_BYTES < self.max_page_bytes
+        return (
+            2 * len(encode(machine.host)) + len(encode(machine.host_record())) + ONE_CLAIM_PAGE_BYTES
+            < self.max_page_bytes
+        )
 
     def large(self) -> Page | None:
         """The oversized page, too large to be written, with the least live content, if any."""
--- a/ladderfield/leader/preemption.py
+++ b/ladderfield/leader/preemption.py
@@ -52,10 +52,10 @@
 
         Tasks for which capacity is being freed elsewhere wait for it.
         """
-        if not job.held:
+        if not job.reserved_hosts:
             return True
-        held = [host for host, until in job.held.items() if until > now]
-        return len(held) < job.queued or machine.host in held
+        reserved_hosts = [host for host, until in job.reserved_hosts.items() if until > now]
+        return len(reserved_hosts) < job.queued or machine.host in reserved_hosts
 
     def clear_for_replicas(self, job: Job, machines: Iterable[Machine], now: float) -> None:
         """Preempt lower ranks for production replicas that fit no machine that has their image.
@@ -66,7 +66,9 @@
         if not job.queued or job.shape in self._unclearable:
             return
         rank = job.order[0]
-        candidates = [machine for machine in machines if machine.could_clear(job.spec) and machine.allows(job.spec)]
+        candidates = [
+            machine for machine in machines if machine.may_fit_after_preemption(job.spec) and machine.allows(job.spec)
+        ]
         if candidates:
             self._clear(job, candidates, lambda claim: claim.job.order[0] > rank, FETCH_COST_FACTOR, job.queued, now)
         else:
@@ -82,8 +84,8 @@
             for claim in machine.claims.values()
             if claim.job.spec.team == spec.team and claim.job.order[0] > job.order[0]
         ]
-        excess_cpus -= sum(claim.job.spec.cpus for claim in own if claim.stopping is not None)
-        running = [claim for claim in own if claim.stopping is None]
+        excess_cpus -= sum(claim.job.spec.cpus for claim in own if claim.stop_reason is not None)
+        running = [claim for claim in own if claim.stop_reason is None]
         for claim in sorted(running, key=lambda claim: (-claim.job.order[0], now - (claim.running_at or now))):
             if excess_cpus <= 0:
                 break
@@ -98,7 +100,7 @@
         teams = self.tables.teams
         borrowed_cpus = teams.borrowed()
         for claim in (claim for machine in machines for claim in machine.claims.values()):
-            if claim.stopping is not None and claim.job.spec.team in borrowed_cpus:
+            if claim.stop_reason is not None and claim.job.spec.team in borrowed_cpus:
                 borrowed_cpus[claim.job.spec.team] -= claim.job.spec.cpus
 
         def reclaimable(claim: Claim) -> bool:
@@ -128,7 +130,9 @@
     ) -> list[Claim]:
         """Free capacity for up to ``max_tasks`` tasks where the least work is lost; returns the stopped claims."""
         tables, stopped = self.tables, list[Claim]()
-        while max_tasks > sum(1 for until in job.held.values() if until > now) and tables.teams.room(job.spec):
+        while max_tasks > sum(1 for until in job.reserved_hosts.values() if until > now) and tables.teams.room(
+            job.spec
+        ):
             clearances = (self._clearance(job, machine, preemptible, fetch_cost_factor, now) for machine in machines)
             best = min((found for found in clearances if found is not None), key=lambda found: found[:2], default=None)
             if best is None or not best.claims:
@@ -146,12 +150,12 @@
         self, job: Job, machine: Machine, preemptible: Callable[[Claim], bool], fetch_cost_factor: float, now: float
     ) -> Clearance | None:
         """The claims to stop on a machine so that one task of the job fits; None if no choice of claims does."""
-        if now < machine.hold_until or not placeable(job, machine) or not self.tables.zones.admits(machine, job):
+        if now < machine.reserved_until or not placeable(job, machine) or not self.tables.zones.admits(machine, job):
             return None
         losses = {
             claim: self._loss(claim, now)
             for claim in machine.claims.values()
-            if claim.stopping is None and preemptible(claim)
+            if claim.stop_reason is None and preemptible(claim)
         }
         chosen = victims(machine, job.spec, losses)
         if chosen is None:
@@ -163,5 +167,7 @@
 
     def _hold(self, job: Job, machine: Machine, now: float) -> None:
         """Reserve the freed capacity for the job."""
-        job.held[machine.host] = machine.hold_until = now + CLEARED_ROOM_REPORT_INTERVALS * self.tables.report_s
-        machine.hold_rank = job.order[0]
+        job.reserved_hosts[machine.host] = machine.reserved_until = (
+            now + CLEARED_ROOM_REPORT_INTERVALS * self.tables.report_s
+        )
+        machine.reserved_rank = job.order[0]
--- a/ladderfield/leader/records.py
+++ b/ladderfield/leader/records.py
@@ -44,7 +44,7 @@
         for key, (value, stamp) in data.items():
             if key.startswith(JOB):
                 self._add_jobs(key, value, stamp, now)
-        self.jobs = dict(sorted(self.jobs.items(), key=lambda pair: pair[1].at))
+        self.jobs = dict(sorted(self.jobs.items(), key=lambda pair: pair[1].accepted_at))
         for key, (value, _) in data.items():
             if key.startswith(FINAL):
                 self._on_final_record(key, value, now, loading=True)
@@ -56,7 +56,7 @@
             if claim.index not in claim.job.finished:
                 self._inherit(claim, now)
         for job in list(self.jobs.values()):
-            job.final_seen = job.final is not None
+            job.final_visible = job.final_phase is not None
             self.check_job_end(job)
         zones, zones_stamp = data.get(ZONES_KEY) or (None, 0)
         self.zones.load(zones, zones_stamp, now)
@@ -68,7 +68,7 @@
             if uid == HOSTS:
                 continue
             job = self.jobs.get(uid)
-            if job is None or job.final == DONE:
+            if job is None or job.final_phase == DONE:
                 self.pages.mark_dirty(page)
                 continue
             for first, last in entry.get("d", ()):
@@ -91,15 +91,15 @@
         claim.job.bind(claim)
         machine = self.machines.get(claim.host)
         if machine is None:
-            zone, endpoint, kind, spot = claim.about
+            zone, endpoint, kind, spot = claim.host_record
             known = self.types.get(kind, UNKNOWN)
             machine = self.machines[claim.host] = Machine(claim.host, endpoint, known, zone, spot, now)
             self.push(machine)  # so that it learns of our epoch
-        machine.take(claim)
+        machine.reserve(claim)
         # Counted even if the job is cancelled: its task may still run, and team limits and placement rules must hold
         # across leader changes.
         self.teams.add(claim.job.spec)
-        if claim.job.final is not None:
+        if claim.job.final_phase is not None:
             self.stop(claim, "cancelled", now)
 
     def _add_jobs(self, key: str, value: Any, stamp: int, now: float) -> None:
@@ -117,7 +117,7 @@
                     self._cancel(job, self.reported_cancellations[uid], now)
             if all(known.key != key for known in job.records):
                 job.records.append(record)
-                record.live.add(uid)
+                record.live_jobs.add(uid)
 
     def _on_final_record(self, key: str, value: Any, now: float, loading: bool = False) -> None:
         """Apply a job's final record."""
@@ -127,8 +127,8 @@
             self.waiting_jobs.job_ended(key.removeprefix(FINAL), value["phase"], now)
         if job is None:
             return
-        job.final_seen = not loading  # while loading, the job's claims have not been read yet
-        if job.final is not None:
+        job.final_visible = not loading  # while loading, the job's claims have not been read yet
+        if job.final_phase is not None:
             self.check_job_end(job)
             return
         if value["phase"] == CANCELLED:
@@ -155,7 +155,7 @@
         job = self.jobs.get(uid)
         if uid in self.reported_cancellations or self.waiting_jobs.dependencies.cancelled(uid):
             return
-        if job is not None and job.final is not None:
+        if job is not None and job.final_phase is not None:
             return
         self.reported_cancellations[uid] = since
         while len(self.reported_cancellations) > self.max_remembered:
@@ -170,8 +170,8 @@
 
     def set_final_state(self, job: Job, phase: str) -> None:
         """Apply a recorded final state: no further task of the job starts."""
-        job.final = phase
-        self.queues.drop(job, self.machines.values())
+        job.final_phase = phase
+        self.queues.remove_job(job, self.machines.values())
         self.complete_jobs.pop(job, None)
         self.cancelled_dependents.pop(job, None)
         self.unrecorded_ends.pop(job, None)
--- a/ladderfield/leader/scheduler.py
+++ b/ladderfield/leader/scheduler.py
@@ -77,7 +77,7 @@
         for machine in suspects:
             self._check_suspect(machine, now)
         for job in self.jobs.values():
-            if job.final is None and job.undealt:
+            if job.final_phase is None and job.unqueued:
                 self.changed = True
             if job.not_before and job.not_before <= now:
                 job.not_before = 0.0
--- a/ladderfield/leader/scheduling_pass.py
+++ b/ladderfield/leader/scheduling_pass.py
@@ -12,7 +12,7 @@
 from ladderfield.leader.preemption import Preemption
 from ladderfield.leader.tables import SILENCE_REPORT_INTERVALS, LeaderTables
 from ladderfield.queues.pick import Tier, tiers
-from ladderfield.queues.work import Job, Shape, Share, task_name
+from ladderfield.queues.work import CapacityShare, Job, Shape, task_name
 from ladderfield.workers.machine import Machine
 
 log = logging.getLogger(__name__)
@@ -27,7 +27,7 @@
 
     def __init__(self, tables: LeaderTables, preemption: Preemption) -> None:
         self.tables, self.preemption = tables, preemption
-        self.first_task_share, self.oldest_share = Share(), Share()  # reserved for old jobs
+        self.first_task_share, self.oldest_share = CapacityShare(), CapacityShare()  # reserved for old jobs
 
     def run(self, now: float) -> int:
         """Run one pass and return the number of claims made."""
@@ -35,7 +35,7 @@
         machines = tables.usable(now)
         self._deal(machines)
         for job in tables.jobs.values():
-            if job.order[0] == 0 and job.queued and job.final is None and not tables.teams.room(job.spec):
+            if job.order[0] == 0 and job.queued and job.final_phase is None and not tables.teams.room(job.spec):
                 self.preemption.preempt_within_team_limit(job, now)
         ready = tiers(tables.jobs.values(), tables.teams, lambda job: tables.estimates.rating(job, now), now)
         if not ready:
@@ -50,42 +50,46 @@
         free.sort(key=self._pull_order)
         on_time = self._reporting_on_time(machines, now)
         made = sum(self._schedule_tier(tier, free, machines, on_time, now) for tier in ready)
-        tables.queues.rest()
+        tables.queues.end()
         return made
 
     def _pull_order(self, machine: Machine) -> tuple[bool, bool, bool, float, float, str]:
         """Sort key: the machines that pull tasks first."""
         free_share = machine.cpus / machine.kind.cpus
         on_probation = self.tables.zones.is_last_resort(machine)
-        return on_probation, not machine.spot, not machine.keeps_up, machine.kind.price, free_share, machine.host
+        return on_probation, not machine.spot, not machine.runs_replica, machine.kind.price, free_share, machine.host
 
     def _reporting_on_time(self, machines: list[Machine], now: float) -> set[Machine]:
         """Machines whose last report is not overdue, so that replicas may be placed there."""
         # After a takeover all reports are late, as workers first have to find the new leader.
         report_s, term_s = self.tables.report_s, now - self.tables.term_from
         max_age_s = OVERDUE_REPORT_INTERVALS * report_s if term_s > SILENCE_REPORT_INTERVALS * report_s else math.inf
-        return {machine for machine in machines if machine.fresh_at is not None and now - machine.fresh_at <= max_age_s}
+        return {
+            machine
+            for machine in machines
+            if machine.epoch_confirmed_at is not None and now - machine.epoch_confirmed_at <= max_age_s
+        }
 
     def _schedule_tier(
         self, tier: Tier, free: list[Machine], machines: list[Machine], on_time: set[Machine], now: float
     ) -> int:
         """Let free machines, those with the image first, pull the tasks of one tier; returns the number of claims."""
         made = 0
-        candidates = tier.candidates(machine for machine in free if tier.rank > 0 or machine in on_time)
+        machines_with_room = tier.machines_with_room(machine for machine in free if tier.rank > 0 or machine in on_time)
         for score in (1, 0):
             if score == 0 and tier.rank == 0:
                 for job in tier.jobs:
                     self.preemption.clear_for_replicas(job, on_time, now)
                 # A replica whose image must be fetched starts soonest on the machine with the fastest fetch.
-                candidates.sort(
+                machines_with_room.sort(
                     key=lambda machine: (self.tables.zones.is_last_resort(machine), -machine.kind.fetch_gb_per_s)
                 )
-            for machine in candidates:
-                if now >= machine.hold_until or tier.rank <= machine.hold_rank:
+            for machine in machines_with_room:
+                if now >= machine.reserved_until or tier.rank <= machine.reserved_rank:
                     made += self._fill(machine, tier, score, now)
-        if tier.owed:
+        if tier.by_guarantee:
             for job in sorted(tier.jobs, key=lambda job: job.uid):
-                if job.queued and now - job.since > RECLAIM_AFTER_REPORT_INTERVALS * self.tables.report_s:
+                if job.queued and now - job.ready_since > RECLAIM_AFTER_REPORT_INTERVALS * self.tables.report_s:
                     self.preemption.reclaim_guarantee(job, machines, now)
         return made
 
@@ -102,11 +106,11 @@
                 by_ready_step.setdefault(self.tables.estimates.ready_step(job), set()).add(job)
         if not by_ready_step:
             return ready
-        self.first_task_share.limit = self.oldest_share.limit = (
+        self.first_task_share.limit_cpus = self.oldest_share.limit_cpus = (
             OLD_JOBS_CPU_SHARE / 2 * sum(machine.kind.cpus for machine in machines)
         )
-        unstarted = {job for jobs in by_ready_step.values() for job in jobs if not job.begun}
-        old = [Tier(False, unstarted, self.first_task_share, first_only=True)] if unstarted else []
+        unstarted = {job for jobs in by_ready_step.values() for job in jobs if not job.has_started}
+        old = [Tier(False, unstarted, self.first_task_share, first_task_only=True)] if unstarted else []
         old += [Tier(False, by_ready_step[step], self.oldest_share) for step in sorted(by_ready_step)]
         first = next((n for n, tier in enumerate(ready) if tier.rank > 0), len(ready))
         return [*ready[:first], *old, *ready[first:]]
@@ -115,13 +119,13 @@
         """Open blocks of jobs as there is use for them, and deal their tasks to the machines that may run them."""
         allowed_machines: dict[Shape, list[Machine]] = {}
         for job in self.tables.jobs.values():
-            if job.final is None and not job.waits:
-                while job.next_block < job.blocks and job.queued + len(job.undealt) < job.block:
+            if job.final_phase is None and not job.pending_dependencies:
+                while job.next_block < job.blocks and job.queued + len(job.unqueued) < job.block:
                     job.open_next()
-                if job.undealt:
+                if job.unqueued:
                     if job.shape not in allowed_machines:
                         allowed_machines[job.shape] = [machine for machine in machines if machine.allows(job.spec)]
-                    self.tables.queues.deal(job, allowed_machines[job.shape])
+                    self.tables.queues.distribute(job, allowed_machines[job.shape])
 
     def _fill(self, machine: Machine, tier: Tier, score: int, now: float) -> int:
         """Let a machine pull tasks with at least this locality score until none fits; returns the number of claims."""
@@ -130,7 +134,7 @@
             # Checked for every claim, as jobs of one team in one tier share what remains of its limit.
             if tier.share is not None and not tier.share.allows(spec.cpus):
                 return False
-            return self.tables.teams.room(spec) > 0 and (not tier.owed or self.tables.teams.guaranteed(spec))
+            return self.tables.teams.room(spec) > 0 and (not tier.by_guarantee or self.tables.teams.guaranteed(spec))
 
         def may_start(job: Job) -> bool:
             if job.failed_hosts.get(machine.host, now) > now or not self.tables.zones.admits(machine, job):
@@ -142,7 +146,7 @@
             pulled := self.tables.queues.pull(machine, jobs)
         ):
             job, index, owner = pulled
-            if index in job.claims or index in job.finished or job.waits:
+            if index in job.claims or index in job.finished or job.pending_dependencies:
                 # Invariant: a task that is claimed or done, or whose job waits for others, is never claimed, even if it
                 # is queued by mistake.
                 log.error(
@@ -152,6 +156,6 @@
             claim = self.tables.claim(job, index, machine, owner, now)
             if tier.share is not None:
                 claim.share = tier.share
-                tier.share.held += job.spec.cpus
+                tier.share.used_cpus += job.spec.cpus
             made += 1
         return made
--- a/ladderfield/leader/tables.py
+++ b/ladderfield/leader/tables.py
@@ -84,12 +84,12 @@
     def claim(self, job: Job, index: int, machine: Machine, helped: str, now: float) -> Claim:
         """Bind a task to a machine under a new attempt number, which is unique as it contains the epoch."""
         self._attempts += 1
-        claim = Claim(job, index, (self.epoch << 32) + self._attempts, machine.host, machine.about())
+        claim = Claim(job, index, (self.epoch << 32) + self._attempts, machine.host, machine.host_record())
         claim.helped = helped
         self.queues.helped(helped, machine.host, 1)
         job.bind(claim)
         self.unrecorded_claims[claim] = None
-        machine.take(claim)
+        machine.reserve(claim)
         self.zones.on_claim_made(claim, machine)
         self.teams.add(job.spec)
         log.debug("task %s: attempt %d claimed for %s", task_name(claim.task), claim.attempt, machine.host)
@@ -104,7 +104,7 @@
         if claim.helped is not None:
             self.queues.helped(claim.helped, claim.host, -1)
         if claim.share is not None:
-            claim.share.held -= job.spec.cpus
+            claim.share.used_cpus -= job.spec.cpus
         job.release(claim)
         self.unrecorded_claims.pop(claim, None)
         self.pages.ended(claim, done)
@@ -112,18 +112,18 @@
         self.changed = True
         if done:
             job.finished.add(claim.index)
-            job.unsettled.add(claim.index)
+            job.unrecorded_done.add(claim.index)
             job.ended_at = now
-            if job.final is None:
+            if job.final_phase is None:
                 self.unrecorded_ends[job] = None
-        elif job.final is None:
+        elif job.final_phase is None:
             self.queues.put_back(job, claim.index)
         self.check_job_end(job)
 
     def stop(self, claim: Claim, reason: str, now: float) -> None:
         """Request that a claim's task is stopped; a claim without an outstanding launch ends at once."""
-        if claim.stopping is None:
-            claim.stopping = reason
+        if claim.stop_reason is None:
+            claim.stop_reason = reason
             machine = self.machines[claim.host]
             if self.unsent(claim, machine):
                 self.end(claim, False, now)
@@ -133,21 +133,21 @@
     @staticmethod
     def unsent(claim: Claim, machine: Machine) -> bool:
         """Whether no launch of the claim is outstanding anywhere, so that the claim can end at once."""
-        return claim.sent_tenure is None and not claim.inherited and claim.attempt not in machine.unanswered_launches
+        return claim.sent_session is None and not claim.inherited and claim.attempt not in machine.unanswered_launches
 
     def check_job_end(self, job: Job) -> None:
         """Note a job that has become complete, and remove a finished or cancelled one that has left all machines."""
-        if job.final is None:
+        if job.final_phase is None:
             if job.complete:
                 self.complete_jobs[job] = None
-        elif job.final_seen and not job.claims and self.jobs.pop(job.uid, None) is not None:
+        elif job.final_visible and not job.claims and self.jobs.pop(job.uid, None) is not None:
             # Only now: a job must stay known, and known to be cancelled, while any task of it may run. No other record
             # that names it can appear once the view has shown its final state.
-            log.info("job %s: %s and off all machines", job.uid, job.final)
+            log.info("job %s: %s and off all machines", job.uid, job.final_phase)
             self.cancelled_at.pop(job.uid, None)
             for record in job.records:
-                record.live.discard(job.uid)
-                if not record.live:
+                record.live_jobs.discard(job.uid)
+                if not record.live_jobs:
                     self.clearable_records[record] = None
 
     def avoid_machine(self, job: Job, machine: Machine, now: float) -> None:
@@ -160,37 +160,39 @@
         Whether the job or the machine is at fault shows with further failures.
         """
         job = claim.job
-        job.errors += 1
+        job.consecutive_errors += 1
         self.avoid_machine(job, machine, now)
         if len(job.failed_hosts) >= len(self.usable(now)):
             job.failed_hosts = {machine.host: job.failed_hosts[machine.host]}
         job.not_before = (
             now
-            + min(MAX_BACKOFF_REPORT_INTERVALS, FIRST_BACKOFF_REPORT_INTERVALS * 2 ** min(job.errors - 1, 10))
+            + min(
+                MAX_BACKOFF_REPORT_INTERVALS, FIRST_BACKOFF_REPORT_INTERVALS * 2 ** min(job.consecutive_errors - 1, 10)
+            )
             * self.report_s
         )
         # A job that failed on several machines without a success is itself the likely cause.
         # Its failures then don't count against the machine.
         if len(job.failed_hosts) <= FAULTY_AFTER_JOBS or job.done:
-            machine.blamed.add(job.uid)
-        if len(machine.blamed) >= FAULTY_AFTER_JOBS and not machine.sick:
-            log.warning("machine %s: faulty, tasks of %d jobs failed there", machine.host, len(machine.blamed))
-            machine.sick = True
+            machine.failed_jobs.add(job.uid)
+        if len(machine.failed_jobs) >= FAULTY_AFTER_JOBS and not machine.faulty:
+            log.warning("machine %s: faulty, tasks of %d jobs failed there", machine.host, len(machine.failed_jobs))
+            machine.faulty = True
             self.queues.withdraw(machine)
 
     def mark_faulty_for_epoch(self, host: str, epoch: int) -> None:
         """Mark a machine as faulty that reports an epoch which no leader can have assigned."""
         machine = self.machines.get(host)
-        if machine is not None and not machine.sick:
+        if machine is not None and not machine.faulty:
             log.warning("machine %s: faulty, reports epoch %d, which no leader assigned", host, epoch)
-            machine.sick = True
+            machine.faulty = True
             self.queues.withdraw(machine)
 
     def prepare_for_interruption(self, machine: Machine, now: float) -> None:
         """Handle a spot interruption notice: stop new work there, and restart elsewhere what can't finish in time."""
         self.queues.withdraw(machine)
         self.changed = True
-        remaining_s = (machine.recall_at or now) - now
+        remaining_s = (machine.interruption_at or now) - now
         for claim in list(machine.claims.values()):
             spec = claim.job.spec
             ran = now - (claim.running_at if claim.running_at is not None else now)
--- a/ladderfield/leader/test_estimates.py
+++ b/ladderfield/leader/test_estimates.py
@@ -34,7 +34,7 @@
         estimates.finished(measured.spec, 30.0)
     assert 28 < estimates.run_s(make("req-000002", expectS=10.0)) < 31
     assert estimates.run_s(make("req-000003", expectS=10.0, jobclass="other")) == 10.0
-    measured.finished_s = [12.0, 20.0, 14.0]
+    measured.run_times_s = [12.0, 20.0, 14.0]
     assert estimates.run_s(measured) == 14.0, "the median of the job's own tasks"
 
 
--- a/ladderfield/leader/test_large_fleet.py
+++ b/ladderfield/leader/test_large_fleet.py
@@ -6,7 +6,7 @@
 import pytest
 import trio
 
-from ladderfield.fleet.cloud import LIST_MOST, Cloud, Listed
+from ladderfield.fleet.cloud import MAX_LISTED_PER_CALL, Cloud, ListedMachine
 from ladderfield.leader.messages import MachinesListed, Message
 from ladderfield.leadership import Leadership
 from ladderfield.peers import Peer, PeerLink
@@ -57,8 +57,8 @@
     link = PeerLink(Peer("n1", "10.0.0.2:81"))
     workers = [ScriptedWorker(f"i-{number:06d}", "za") for number in range(2 * MACHINES)]
     reports = [msgspec.structs.replace(worker.report(), epoch=1) for worker in workers]
-    assert all(handler._relay_for(report, link, 1.0) is None for report in reports)
-    assert all(handler._relay_for(report, link, 2.0) is not None for report in reports), (
+    assert all(handler._relay_duration_s(report, link, 1.0) is None for report in reports)
+    assert all(handler._relay_duration_s(report, link, 2.0) is not None for report in reports), (
         "each worker has come back from the leader"
     )
 
@@ -82,10 +82,10 @@
     cloud = Cloud(own)
     calls = 0
 
-    async def listed(self: Cloud) -> list[Listed]:
+    async def listed(self: Cloud) -> list[ListedMachine]:
         nonlocal calls
-        calls += MACHINES // LIST_MOST + 1
-        return [Listed(f"i-{n:06d}", "m4", "za", False, "running") for n in range(MACHINES)]
+        calls += MACHINES // MAX_LISTED_PER_CALL + 1
+        return [ListedMachine(f"i-{n:06d}", "m4", "za", False, "running") for n in range(MACHINES)]
 
     monkeypatch.setattr(Cloud, "list", listed)
     leader = ScriptedFleet(MACHINES).leader
@@ -94,5 +94,5 @@
     leader.cloud_tasks.inbox = send
     with trio.move_on_after(120.0):
         await leader.cloud_tasks.list_machines()
-    assert calls <= own.cluster.cloud.rps * 120.0 / 3 + MACHINES // LIST_MOST + 1
+    assert calls <= own.cluster.cloud.rps * 120.0 / 3 + MACHINES // MAX_LISTED_PER_CALL + 1
     assert isinstance(receive.receive_nowait(), MachinesListed)
--- a/ladderfield/leader/test_limits.py
+++ b/ladderfield/leader/test_limits.py
@@ -134,18 +134,18 @@
         for host in range(3):
             harness.report(f"m{host}" + "x" * padding * (host == 0))
         array = harness.scheduler.jobs["req-000001"]
-        array.unsettled |= set(range(100, 600, 2))
-        array.finished |= array.unsettled
+        array.unrecorded_done |= set(range(100, 600, 2))
+        array.finished |= array.unrecorded_done
         harness.scheduler.unrecorded_ends[array] = None
         write_due(harness, {}, MAX_OPS - 1)
-        assert all(claim.recorded for claim in array.claims.values()) and not array.unsettled
+        assert all(claim.recorded for claim in array.claims.values()) and not array.unrecorded_done
 
 
 def test_a_machine_whose_name_fits_no_record_is_deleted_and_blocks_no_other() -> None:
     harness = harness_with_small_limits()
     harness.submit(rungs=4, owner="blue")
     harness.report("x" * 3000)
-    assert harness.scheduler.machines["x" * 3000].sick and not harness.scheduler.unrecorded_claims
+    assert harness.scheduler.machines["x" * 3000].faulty and not harness.scheduler.unrecorded_claims
     harness.report("m")
     write_due(harness, {})
     assert harness.report("m") and harness.scheduler.sweep(2.0) == ["x" * 3000]
--- a/ladderfield/leader/test_pages.py
+++ b/ladderfield/leader/test_pages.py
@@ -95,7 +95,9 @@
     assert binding_claims(harness) == {0: 100}
     assert harness.scheduler.teams.cpus["red"] == 2.0
     harness.report("m", (rung(0, 99),))
-    assert harness.scheduler.machines["m"].seen, "the machine lists attempt 99, which has no claim and would be stopped"
+    assert harness.scheduler.machines["m"].reported_tasks, (
+        "the machine lists attempt 99, which has no claim and would be stopped"
+    )
 
 
 def test_a_recorded_claim_of_a_finished_task_is_ignored() -> None:
@@ -134,7 +136,9 @@
     claim: Claim = found.claims[3]
     harness.scheduler.end(claim, True, 1.0)
     harness.record()
-    assert not found.unsettled and sum(len(page.done.get(found, ())) for page in harness.scheduler.pages.pages) == 5
+    assert (
+        not found.unrecorded_done and sum(len(page.done.get(found, ())) for page in harness.scheduler.pages.pages) == 5
+    )
 
 
 def test_a_transaction_with_failed_guards_is_written_again_with_all_its_claims() -> None:
--- a/ladderfield/leader/test_scheduler.py
+++ b/ladderfield/leader/test_scheduler.py
@@ -30,7 +30,7 @@
 def test_a_claimed_task_that_is_still_queued_is_not_claimed_again() -> None:
     harness = SchedulerHarness()
     launched(harness, 1, cores=4.0)
-    harness.scheduler.jobs["req-000001"].undealt.append(0)
+    harness.scheduler.jobs["req-000001"].unqueued.append(0)
     harness.report("other")
     assert not harness.machine("other").claims and len(harness.machine("m").claims) == 1
 
@@ -59,13 +59,13 @@
     harness.report(rungs=(rung(0, attempt), rung(1, attempt + 1)), now=2.0)
     harness.submit("req-000002", rank="production", shape="daemon", cores=4.0, rungs=1)
     harness.scheduler.schedule(3.0)
-    assert {claim.stopping for claim in harness.machine().claims.values()} == {"preempted"}
+    assert {claim.stop_reason for claim in harness.machine().claims.values()} == {"preempted"}
     production = SchedulerHarness()
     attempt = launched(production, 2, rank="production")
     production.report(rungs=(rung(0, attempt), rung(1, attempt + 1)), now=2.0)
     production.submit("req-000002", rank="production", shape="daemon", cores=4.0, rungs=1)
     production.scheduler.schedule(3.0)
-    assert {claim.stopping for claim in production.machine().claims.values()} == {None}
+    assert {claim.stop_reason for claim in production.machine().claims.values()} == {None}
 
 
 def test_a_replica_preempts_its_own_teams_batch_tasks_at_the_team_limit() -> None:
@@ -103,10 +103,10 @@
     harness.report()
     harness.submit("req-000003", owner="red", rungs=1, rank="best_effort")
     harness.scheduler.schedule(2.0)
-    assert not any(claim.stopping for claim in harness.machine().claims.values())
-    harness.scheduler.machines["m"].fresh_at = 20.0
+    assert not any(claim.stop_reason for claim in harness.machine().claims.values())
+    harness.scheduler.machines["m"].epoch_confirmed_at = 20.0
     harness.scheduler.schedule(20.0)
-    assert [claim.job.spec.team for claim in harness.machine().claims.values() if claim.stopping] == ["blue"]
+    assert [claim.job.spec.team for claim in harness.machine().claims.values() if claim.stop_reason] == ["blue"]
 
 
 def test_a_large_job_is_opened_block_by_block_and_its_pages_fit_the_limit() -> None:
--- a/ladderfield/leader/test_sessions.py
+++ b/ladderfield/leader/test_sessions.py
@@ -48,7 +48,7 @@
     harness.report(tenure=2, now=15.0)
     claims = harness.machine().claims
     assert ("req-000002", 0) in claims
-    assert claims["req-000001", 0].sent_tenure is None, (
+    assert claims["req-000001", 0].sent_session is None, (
         "the sent claim ended, and the task was claimed again under another attempt"
     )
 
@@ -72,7 +72,7 @@
     harness.report(rungs=(rung(0, attempt),), now=2.0)
     harness.ticks["m"] -= 2
     harness.report(rungs=(), now=3.0)
-    assert harness.machine().seen == {("req-000001", 0): (attempt, "running")}
+    assert harness.machine().reported_tasks == {("req-000001", 0): (attempt, "running")}
 
 
 def test_tasks_of_cancelled_jobs_are_stopped_and_none_starts() -> None:
--- a/ladderfield/leader/test_size.py
+++ b/ladderfield/leader/test_size.py
@@ -127,7 +127,7 @@
     for host in range(10):
         harness.report(f"m{host}", now=130.0)
     harness.submit("req-000004", owner="blue", rungs=30)
-    harness.scheduler.jobs["req-000004"].at = 129.0
+    harness.scheduler.jobs["req-000004"].accepted_at = 129.0
     harness.scheduler.schedule(130.0)
     assert harness.scheduler.jobs["req-000002"].claims and harness.scheduler.jobs["req-000001"].claims
     for claim in list(harness.scheduler.jobs["req-000002"].claims.values())[:1]:
--- a/ladderfield/leader/test_stranded.py
+++ b/ladderfield/leader/test_stranded.py
@@ -96,7 +96,7 @@
     elif how == "interrupted":
         harness.report(now=2.0, recallS=30.0)
     elif how == "faulty":
-        lost.sick = True
+        lost.faulty = True
     for now in (8.0, 8.5):
         harness.scheduler.sweep(now)
         for host in "abc":
@@ -112,7 +112,7 @@
     harness.report(rungs=both, now=2.0)
     harness.submit("req-000002", rank="production", shape="daemon", cores=4.0, rungs=1)
     harness.scheduler.schedule(2.0)
-    assert harness.machine().hold_until > 2.0
+    assert harness.machine().reserved_until > 2.0
     harness.tell("req-000002", "cancelled")
     stopped_tasks = (rung(0, attempt, "exited", "stopped"), rung(1, attempt + 1, "exited", "stopped"))
     harness.report(rungs=stopped_tasks, now=3.0)
@@ -227,7 +227,7 @@
         harness.scheduler.end(claim, False, 2.0)
         for host in reporting:
             harness.report(host, now=10.0)
-        harness.machine().fresh_at = 10.0  # it answers our orders
+        harness.machine().epoch_confirmed_at = 10.0  # it answers our orders
         harness.scheduler.sweep(10.0)
         assert harness.machine().cannot_report
         waiting = harness.scheduler.jobs["req-000001"].waiting
--- a/ladderfield/leader/test_unheard.py
+++ b/ladderfield/leader/test_unheard.py
@@ -24,7 +24,7 @@
 
 def is_unreachable(harness: SchedulerHarness, host: str = "m") -> bool:
     """Whether the scheduler considers the machine unreachable."""
-    return harness.machine(host).not_hearing_since is not None
+    return harness.machine(host).unreachable_since is not None
 
 
 def test_launches_that_are_never_listed_mark_a_machine_unreachable() -> None:
@@ -164,10 +164,10 @@
     for host, zone in (("a", "za"), ("b", "zb"), ("c", "za"), ("d", "za"), ("e", "za")):
         machine = scheduler.machines[host] = Machine(host, "10.9.0.1:90", UNKNOWN, zone, False, 0.0)
         if host in "cde":
-            machine.up_at = machine.fresh_at = 15.0
+            machine.first_report_at = machine.epoch_confirmed_at = 15.0
     assert scheduler.sweep(15.0) == ["a"]
     for host in "cde":
-        scheduler.machines[host].fresh_at = 29.0
+        scheduler.machines[host].epoch_confirmed_at = 29.0
     assert scheduler.sweep(29.0) == ["a"]
     assert scheduler.sweep(29.7) == ["a", "b"], "most of a lease after the earlier leader's term"
 
@@ -186,10 +186,10 @@
     )
     machine = leader.scheduler.machines["m"] = Machine("m", "10.9.0.1:90", UNKNOWN, "za", False, 0.0)
     for heard_at, relayed, unreachable_then in ((80.0, False, False), (100.0, True, False), (100.0, False, True)):
-        machine.heard_at, machine.relayed = heard_at, relayed
+        machine.last_report_at, machine.relayed = heard_at, relayed
         for _ in range(3):
             leader._on_orders_answered(OrdersAnswered("m", [], False, None), 100.0)
-        assert (machine.not_hearing_since is not None) == unreachable_then
+        assert (machine.unreachable_since is not None) == unreachable_then
 
 
 def test_a_claim_with_an_outstanding_launch_does_not_end_on_an_unreachable_machine() -> None:
@@ -212,7 +212,7 @@
     for relayed in (True, False):
         for host in ("a", "b"):
             harness.report(host, now=8.0)
-            harness.machine(host).came(relayed, 8.0)
+            harness.machine(host).note_route(relayed, 8.0)
         assert ("c" in harness.scheduler.sweep(8.0)) is not relayed
 
 
@@ -221,7 +221,7 @@
     harness = SchedulerHarness()
     machine = harness.scheduler.sessions.machine("m", "10.9.0.1:90", "m4", "za", False, 0.0)
     assert machine is not None
-    machine.born_at = -100.0
+    machine.created_at = -100.0
     assert not harness.scheduler.sweep(1.0)
     assert harness.scheduler.sweep(10.0) == ["m"]
 
--- a/ladderfield/leader/test_waiting.py
+++ b/ladderfield/leader/test_waiting.py
@@ -43,7 +43,7 @@
     assert claimed(harness) == set(), "the end of A is not recorded yet"
     harness.record(3.0)
     harness.scheduler.schedule(3.0)
-    assert claimed(harness) == {B} and harness.scheduler.jobs[B].since == 3.0
+    assert claimed(harness) == {B} and harness.scheduler.jobs[B].ready_since == 3.0
     finish(harness, B, 4.0)
     harness.record(4.0)
     harness.scheduler.schedule(4.0)
@@ -91,7 +91,7 @@
     harness.record(2.0)
     assert {B, C, "req-000004"}.isdisjoint(claimed(harness))
     for uid in (B, C, "req-000004"):
-        assert harness.scheduler.jobs[uid].final == "cancelled"
+        assert harness.scheduler.jobs[uid].final_phase == "cancelled"
         harness.tell(uid, "cancelled")
     assert set(harness.scheduler.jobs) <= {A}
 
@@ -119,7 +119,7 @@
     planner = Planner(harness.scheduler)
     assert planner.rentals(2.0) == [] and harness.scheduler.teams.cpus["blue"] == 0.0
     assert all(
-        not waiting.queued and not waiting.undealt for uid, waiting in harness.scheduler.jobs.items() if uid != A
+        not waiting.queued and not waiting.unqueued for uid, waiting in harness.scheduler.jobs.items() if uid != A
     )
 
 
@@ -130,7 +130,12 @@
         f"lf/f/{A}": ({"phase": "done", "at": 990.0}, 6),
     }
     restored = SchedulerHarness(data).scheduler.jobs[B]
-    assert (restored.since, restored.at, restored.order, restored.due) == (-10.0, -100.0, (1,), (1095.0, 200.0))
+    assert (restored.ready_since, restored.accepted_at, restored.order, restored.due) == (
+        -10.0,
+        -100.0,
+        (1,),
+        (1095.0, 200.0),
+    )
 
 
 def test_a_job_that_an_urgent_job_waits_for_goes_first() -> None:
--- a/ladderfield/leader/waiting.py
+++ b/ladderfield/leader/waiting.py
@@ -24,9 +24,9 @@
     def add_job(self, job: Job) -> None:
         """Set what an accepted job waits for, and update the urgency of the jobs that it needs."""
         needs = job.spec.needs or ()
-        job.waits = self.dependencies.unmet(needs)
+        job.pending_dependencies = self.dependencies.unmet(needs)
         if needs:
-            job.since = max(job.at, self.dependencies.ready_at(needs) - self.tables.wall_offset)
+            job.ready_since = max(job.accepted_at, self.dependencies.ready_at(needs) - self.tables.wall_offset)
         if self.dependencies.cancelled(job.uid):
             self.tables.cancelled_dependents[job] = None
         self._update_urgency(job.uid)
@@ -36,17 +36,17 @@
         if phase == CANCELLED:
             for dependent in self.dependencies.all_after(uid):
                 job = self.tables.jobs.get(dependent)
-                if job is not None and job.final is None:
+                if job is not None and job.final_phase is None:
                     self.tables.cancelled_dependents[job] = None
             self._update_urgency(uid)
             return
         for dependent in self.dependencies.after(uid):
             job = self.tables.jobs.get(dependent)
-            if job is not None and job.final is None and uid in job.waits:
-                job.waits.discard(uid)
-                if not job.waits:
+            if job is not None and job.final_phase is None and uid in job.pending_dependencies:
+                job.pending_dependencies.discard(uid)
+                if not job.pending_dependencies:
                     log.info("job %s: ready, all jobs it waits for are done", job.uid)
-                    job.since, self.tables.changed = now, True
+                    job.ready_since, self.tables.changed = now, True
 
     def _update_urgency(self, uid: str) -> None:
         """Give a job and the jobs it needs the urgency of the jobs that wait for them."""
--- a/ladderfield/leadership.py
+++ b/ladderfield/leadership.py
@@ -21,7 +21,7 @@
 from ladderfield.state import StateClient, StateServiceError
 from ladderfield.term import Term, grace_of, grace_s
 from ladderfield.view import View
-from ladderfield.workers.report import EPOCH_MOST
+from ladderfield.workers.report import EPOCH_LIMIT
 
 log = logging.getLogger(__name__)
 
@@ -68,7 +68,7 @@
         It counts where our own view is behind, that is where the state service does not serve us; and never against a
         lease that is surely ours.
         """
-        if epoch <= max(self._told[0], self.known_epoch()) or not leader or epoch >= EPOCH_MOST:
+        if epoch <= max(self._told[0], self.known_epoch()) or not leader or epoch >= EPOCH_LIMIT:
             return
         self._told = (epoch, leader)
         if self.term is not None and self.term.authority().yields_to(epoch, trio.current_time()):
--- a/ladderfield/server.py
+++ b/ladderfield/server.py
@@ -87,9 +87,11 @@
             settings, self.leadership, self.view, self.reachability, self.links, self.succession
         )
         self.prober = WorkerProber(settings, self.view, self.reachability, reach_options is not None)
-        self.reports.unable = lambda zone, host: self.reachability.workers.reported(zone, host, trio.current_time())
+        self.reports.on_leader_unreachable = lambda zone, host: self.reachability.workers.reported(
+            zone, host, trio.current_time()
+        )
         self.authority_log = AuthorityLog()
-        self.cancellation_sync.deliver = lambda uids: self.reports.tell_leader(CancellationsLearned(uids))
+        self.cancellation_sync.deliver = lambda uids: self.reports.send_to_leader(CancellationsLearned(uids))
 
     def _takes_users(self) -> bool:
         """Whether users should come here, by the last word of every other controller."""
@@ -113,7 +115,7 @@
     async def handle_back(self, kind: int, status: int, body: bytes) -> tuple[int, bytes]:
         """Any question over ``back``."""
         if kind == RELAY:
-            return await self.reports.relayed(body, status)
+            return await self.reports.handle_relayed(body, status)
         if kind == HEALTH:
             leads = self.leadership.term is not None or self.reports.inbox is not None
             epoch, leader = self.leadership.latest()
@@ -122,7 +124,7 @@
             return self.cancellation_sync.answer(body)
         if kind == CANCELLATION_NOTICE:
             try:
-                self.reports.tell_leader(CancellationsLearned(parse_uids(body)))
+                self.reports.send_to_leader(CancellationsLearned(parse_uids(body)))
             except MalformedAnswerError:
                 return 400, b""
             return 200, b""
@@ -143,19 +145,19 @@
             for link in self.links.values():
                 self.leadership.told(*link.knows)
             if self.zone_options is not None:
-                self.reports.tell_leader(ControllersChecked(self._reachable_zones()))
+                self.reports.send_to_leader(ControllersChecked(self._reachable_zones()))
             if term is not None and not term.over.is_set():
                 if self.reachability.state_ok:
                     term.knows(self.view.proven_at)
                 else:
-                    self.reports.tell_leader(CancellationsLearned(*await self.cancellation_sync.ask(term, pause)))
+                    self.reports.send_to_leader(CancellationsLearned(*await self.cancellation_sync.ask(term, pause)))
             if (
                 term is not None
                 and term is self.leadership.term
                 and not any(link.leads for link in self.links.values())
             ):
                 # All were asked after our term began, so no earlier leader is left to keep leases alive.
-                self.reports.tell_leader(NoOtherLeader())
+                self.reports.send_to_leader(NoOtherLeader())
             self._observe_reach(trio.current_time())
             await trio.sleep(pause)
 
--- a/ladderfield/test_leadership.py
+++ b/ladderfield/test_leadership.py
@@ -19,7 +19,7 @@
 from ladderfield.term import Term
 from ladderfield.testing import TYPES, accepted, job, settings
 from ladderfield.view import Change, View
-from ladderfield.workers.report import Report, Rung
+from ladderfield.workers.report import Report, TaskReport
 
 
 @pytest.mark.parametrize(("stood_still_s", "elected"), [(0.1, True), (2.1, False)])
@@ -61,7 +61,7 @@
 
 
 def _report(tick: int, epoch: int = 7) -> Report:
-    return Report("m", "10.9.0.1:90", "m4", "za", False, 1, tick, epoch, None, list[Rung]())
+    return Report("m", "10.9.0.1:90", "m4", "za", False, 1, tick, epoch, None, list[TaskReport]())
 
 
 async def test_a_leader_that_stood_still_starts_nothing_and_answers_only_until_its_bound() -> None:
--- a/ladderfield/test_versions.py
+++ b/ladderfield/test_versions.py
@@ -57,7 +57,7 @@
     harness = SchedulerHarness(old_data())
     array, service = harness.scheduler.jobs["req-000412"], harness.scheduler.jobs["req-000413"]
     assert array.finished == {0, 1, 4} and {claim.attempt & 0xFF for claim in array.claims.values()} == {2, 3}
-    assert array.spec.needs is None and array.spec.deadline_s == 90.0 and not array.waits
+    assert array.spec.needs is None and array.spec.deadline_s == 90.0 and not array.pending_dependencies
     assert [claim.host for claim in service.claims.values()] == ["i-000003"]
     assert harness.scheduler.teams.cpus == {"red": 4.0, "blue": 4.0}
     # A reap under way: the old leader has recorded task 4 and not yet reaped it.
@@ -72,7 +72,7 @@
 def test_ends_that_an_old_version_wrote_count(record: bytes) -> None:
     harness = SchedulerHarness(old_data(lf_f_req000001=record) | {"lf/f/req-000412": (msgspec.json.decode(record), 6)})
     harness.submit("req-000414", waitsOn=["req-000412"])
-    assert bool(harness.scheduler.jobs["req-000414"].waits) == (record is CANCELLED_RECORD)
+    assert bool(harness.scheduler.jobs["req-000414"].pending_dependencies) == (record is CANCELLED_RECORD)
     assert bool(harness.scheduler.cancelled_dependents) == (record is CANCELLED_RECORD)
 
 
--- a/ladderfield/zones/coordinator.py
+++ b/ladderfield/zones/coordinator.py
@@ -96,7 +96,9 @@
         }
         if not zones:
             return zones
-        production = [job.spec.zone for job in self.tables.jobs.values() if job.final is None and _is_production(job)]
+        production = [
+            job.spec.zone for job in self.tables.jobs.values() if job.final_phase is None and _is_production(job)
+        ]
         return zones if None in production else zones.intersection(production)
 
     def _health_of(self, zone: str, now: float) -> ZoneHealth:
@@ -182,7 +184,7 @@
             if machine.zone in evacuated and self._is_silent(machine, now):
                 yield from (claim.job for claim in machine.claims.values() if _is_production(claim.job))
         for job in self.tables.jobs.values():
-            if job.final is None and _is_production(job):
+            if job.final_phase is None and _is_production(job):
                 yield from [job] * min(job.queued, self.tables.teams.room(job.spec))
 
     def _is_silent(self, machine: Machine, now: float) -> bool:
@@ -231,7 +233,7 @@
     def on_claim_ended(self, claim: Claim, machine: Machine, done: bool, now: float) -> None:
         """Track the task if its claim ended because the zone was lost; stop tracking it if it is done."""
         health = self.health_by_zone.get(machine.zone)
-        if done or claim.job.final is not None:
+        if done or claim.job.final_phase is not None:
             self.return_log.forget(claim)
         elif health is not None and health.suspected_or_lost and self._is_silent(machine, now):
             self.return_log.record_displaced(claim, machine.zone, now)
--- a/ladderfield/zones/reserve.py
+++ b/ladderfield/zones/reserve.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from ladderfield.fleet.capacity import UNBOUNDED, slots
+from ladderfield.fleet.capacity import UNLIMITED_TASKS, slots
 from ladderfield.jobs.model import JobSpec
 from ladderfield.queues.work import Claim, Job, Shape
 from ladderfield.workers.machine import Machine
@@ -57,4 +57,4 @@
     cpus, gpus, memory_gb = machine.cpus, machine.gpus, machine.memory_gb
     if alongside is not None:
         cpus, gpus, memory_gb = cpus - alongside.cpus, gpus - alongside.gpus, memory_gb - alongside.memory_gb
-    return slots(spec, cpus, gpus, memory_gb, most=UNBOUNDED)
+    return slots(spec, cpus, gpus, memory_gb, max_tasks=UNLIMITED_TASKS)
--- a/ladderfield/zones/waves.py
+++ b/ladderfield/zones/waves.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 
 from ladderfield.jobs.model import RANKS
-from ladderfield.queues.pick import settled
+from ladderfield.queues.pick import zone_allowed
 from ladderfield.queues.work import Job, Shape
 from ladderfield.teams import Teams
 from ladderfield.workers.machine import Machine
@@ -44,7 +44,7 @@
                 return True
         seen: set[Shape] = set()
         for job in jobs:
-            if job.final is not None or not job.waiting or now < job.not_before or not self._in_current_wave(job):
+            if job.final_phase is not None or not job.waiting or now < job.not_before or not self._in_current_wave(job):
                 continue
             if not teams.room(job.spec) or (job.shape in seen and not (job.spec.one_zone or job.spec.spread)):
                 continue
@@ -59,9 +59,11 @@
 
 def could_start(job: Job, machine: Machine) -> bool:
     """Whether the machine has room for a task of the job, or a production task could preempt others there."""
-    if not machine.allows(job.spec) or not settled(job, machine):
+    if not machine.allows(job.spec) or not zone_allowed(job, machine):
         return False
-    return machine.has_room(job.spec) or (job.order[0] == PRODUCTION_RANK and machine.could_clear(job.spec))
+    return machine.has_room(job.spec) or (
+        job.order[0] == PRODUCTION_RANK and machine.may_fit_after_preemption(job.spec)
+    )
 
 
 def may_fetch(machine: Machine, job: Job) -> bool:
