--- a/ladderfield/fleet/__init__.py
+++ b/ladderfield/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet: what to rent and return, and the calls to the cloud."""
+"""Decisions on which machines to rent and return, and the client of the cloud API."""
--- a/ladderfield/fleet/capacity.py
+++ b/ladderfield/fleet/capacity.py
@@ -1,4 +1,4 @@
-"""Room for tasks, on the machines there are and on those to be rented, as a plan fills it."""
+"""Free capacity of the rented machines and of those that a plan would rent, as the plan places tasks on it."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from ladderfield.fleet.cloud import RENT_MOST
+from ladderfield.fleet.cloud import MAX_RENTED_PER_CALL
 from ladderfield.jobs.model import JobSpec, MachineType, fits
-from ladderfield.queues.pick import half_up
+from ladderfield.queues.pick import max_tasks_per_zone
 from ladderfield.queues.work import Shape
-from ladderfield.workers.machine import SLACK, Machine
+from ladderfield.workers.machine import TOLERANCE, Machine
 
-HIRES = 2  # of the most machines a hire may ask for: of one offer in one plan
-NOTHING = [0.0, 0.0, 0.0]
-UNBOUNDED = 2**63  # tasks
+MAX_RENT_CALLS_PER_OFFER = 2  # full rent calls for one offer in one plan
+NO_RESOURCES = [0.0, 0.0, 0.0]
+UNLIMITED_TASKS = 2**63  # tasks
 
 
 class Offer(NamedTuple):
-    """What the cloud may have machines of."""
+    """A machine type, zone and kind (spot or on-demand) that the cloud may have machines of."""
 
     type_name: str
     zone: str
@@ -27,26 +27,26 @@
 
 @dataclass(frozen=True)
 class Rental:
-    """Machines to ask for."""
+    """A number of machines to rent of one offer."""
 
     offer: Offer
     count: int
 
 
-class Room:
-    """A machine, real or planned, as the plan fills it."""
+class MachineCapacity:
+    """The free capacity of a rented or planned machine while a plan places tasks on it."""
 
     __slots__ = (
+        "array_cpus",
         "cpus",
-        "for_arrays",
         "gpus",
         "host",
         "idle",
         "images",
         "kind",
-        "lower",
         "memory_gb",
         "needed",
+        "preemptible",
         "spot",
         "zone",
     )
@@ -59,133 +59,135 @@
         self.cpus, self.gpus, self.memory_gb = source.cpus, source.gpus, source.memory_gb
         self.host, self.needed = None, False
         self.images: Collection[str] = ()
-        self.lower = [0.0, 0.0, 0.0]  # what tasks hold that would give way to a service
+        self.preemptible = [0.0, 0.0, 0.0]  # cpus, gpus, memory that a service could take by preemption
         if machine is None:
             assert kind is not None
             self.kind, self.zone, self.spot = kind, zone, spot
         else:
             self.host, self.kind, self.zone, self.spot = machine.host, machine.kind, machine.zone, machine.spot
             self.images = machine.cached
-            self.lower = list(machine.preemptible)
-        self.for_arrays = self.cpus + self.lower[0]
+            self.preemptible = list(machine.preemptible)
+        self.array_cpus = self.cpus + self.preemptible[0]
         self.idle = machine is not None and not machine.claims
 
     def allows(self, spec: JobSpec) -> bool:
-        """Whether the job may use this machine."""
+        """Whether the job may use this machine, by kind, zone and type."""
         return (spec.spot or not self.spot) and spec.zone in (None, self.zone) and fits(spec, self.kind)
 
-    def takes(self, spec: JobSpec, lower: list[float]) -> bool:
-        """Whether one more task fits, if what ``lower`` counts makes way."""
+    def has_room(self, spec: JobSpec, preemptible: list[float]) -> bool:
+        """Whether one more task fits if the ``preemptible`` resources are freed."""
         return (
-            spec.cpus <= self.cpus + lower[0] + SLACK
-            and spec.memory_gb <= self.memory_gb + lower[2] + SLACK
-            and spec.gpus <= self.gpus + lower[1] + SLACK
+            spec.cpus <= self.cpus + preemptible[0] + TOLERANCE
+            and spec.memory_gb <= self.memory_gb + preemptible[2] + TOLERANCE
+            and spec.gpus <= self.gpus + preemptible[1] + TOLERANCE
         )
 
     def place(self, spec: JobSpec, count: int, free_only: bool = False) -> int:
-        """Fill with up to so many tasks; how many fit. Services may push lower ranks out."""
-        lower = NOTHING if free_only else self.lower
-        room = (self.cpus + lower[0], self.gpus + lower[1], self.memory_gb + lower[2])
-        placed = min(count, slots(spec, *room))
+        """Place up to ``count`` tasks, also on preemptible resources unless ``free_only``; returns how many fit."""
+        preemptible = NO_RESOURCES if free_only else self.preemptible
+        available = (self.cpus + preemptible[0], self.gpus + preemptible[1], self.memory_gb + preemptible[2])
+        placed = min(count, slots(spec, *available))
         self.cpus -= placed * spec.cpus
         self.gpus -= placed * spec.gpus
         self.memory_gb -= placed * spec.memory_gb
         if placed:
             self.needed = True
             if not free_only:
-                self.for_arrays -= placed * spec.cpus
+                self.array_cpus -= placed * spec.cpus
         return placed
 
 
-class Places:
-    """Zones that the job's other tasks leave to its next ones: those that run, and those that a plan has placed.
+class ZoneAllowance:
+    """How many more tasks of a job may go to each zone, given its running tasks and those that the plan has placed.
 
-    Guards against machines that are rented, or kept, where none of the job's waiting tasks may go.
+    Prevents machines from being rented or kept in zones where none of the job's waiting tasks may go.
     """
 
     def __init__(self, spec: JobSpec, zones: Mapping[str, int] | None) -> None:
-        self.spec, self.bound = spec, zones is not None  # else the tasks are of several jobs
+        self.spec, self.single_job = spec, zones is not None  # if not, the tasks belong to several jobs
         self.zones = {zone: count for zone, count in (zones or {}).items() if count}
 
-    def left(self, zone: str) -> int:
-        """How many more tasks may go there."""
-        if not self.bound:
-            return UNBOUNDED
+    def remaining(self, zone: str) -> int:
+        """How many more tasks may go to the zone."""
+        if not self.single_job:
+            return UNLIMITED_TASKS
         if self.spec.one_zone and self.zones.keys() - {zone}:
             return 0
-        return half_up(self.spec.tasks) - self.zones.get(zone, 0) if self.spec.spread else self.spec.tasks
+        return max_tasks_per_zone(self.spec.tasks) - self.zones.get(zone, 0) if self.spec.spread else self.spec.tasks
 
-    def place(self, room: Room, count: int, free_only: bool = False) -> int:
-        """Fill a room with up to so many tasks; how many it takes."""
-        placed = room.place(self.spec, max(0, min(count, self.left(room.zone))), free_only)
+    def place(self, machine: MachineCapacity, count: int, free_only: bool = False) -> int:
+        """Place up to ``count`` tasks on a machine, as far as its zone allows; returns how many were placed."""
+        placed = machine.place(self.spec, max(0, min(count, self.remaining(machine.zone))), free_only)
         if placed:
-            self.zones[room.zone] = self.zones.get(room.zone, 0) + placed
+            self.zones[machine.zone] = self.zones.get(machine.zone, 0) + placed
         return placed
 
 
-def slots(spec: JobSpec, cpus: float, gpus: float, memory_gb: float, most: int | None = None) -> int:
-    """How many tasks fit into so much room; of one job, unless ``most`` says otherwise."""
-    most = spec.tasks if most is None else most
-    for need, room in ((spec.cpus, cpus), (spec.gpus, gpus), (spec.memory_gb, memory_gb)):
+def slots(spec: JobSpec, cpus: float, gpus: float, memory_gb: float, max_tasks: int | None = None) -> int:
+    """How many tasks fit into the resources, up to ``max_tasks`` (by default the size of the job)."""
+    max_tasks = spec.tasks if max_tasks is None else max_tasks
+    for need, available in ((spec.cpus, cpus), (spec.gpus, gpus), (spec.memory_gb, memory_gb)):
         if need > 0:
-            most = min(most, int((room + SLACK) / need))
-    return max(0, most)
+            max_tasks = min(max_tasks, int((available + TOLERANCE) / need))
+    return max(0, max_tasks)
 
 
 class Plan:
-    """All rooms, sorted by shape of task once a plan, so that a job looks only at those that may still take it."""
+    """All machines, indexed by task shape, so that a job looks only at those that may still have room for it."""
 
-    def __init__(self, rooms: Iterable[Room]) -> None:
-        self.rooms = list(rooms)
-        self.planned: dict[Offer, int] = {}
-        self._services: dict[Shape, list[Room]] = {}
-        self._arrays: dict[Shape, list[Room]] = {}
+    def __init__(self, machines: Iterable[MachineCapacity]) -> None:
+        self.machines = list(machines)
+        self.planned: dict[Offer, int] = {}  # number of machines to rent
+        self._services: dict[Shape, list[MachineCapacity]] = {}
+        self._arrays: dict[Shape, list[MachineCapacity]] = {}
         self._array_cpus: dict[Shape, float] = {}
         self._specs: dict[Shape, JobSpec] = {}
 
-    def for_service(self, spec: JobSpec, shape: Shape) -> Iterator[Room]:
-        """Rooms that may take a replica: first those with its image, then the busy and small ones."""
-        rooms = self._services.get(shape)
-        if rooms is None:
+    def for_service(self, spec: JobSpec, shape: Shape) -> Iterator[MachineCapacity]:
+        """Machines that may have room for a replica: first those with its image, then busy and small ones."""
+        machines = self._services.get(shape)
+        if machines is None:
             self._specs[shape] = spec
-            rooms = [room for room in self.rooms if room.allows(spec)]
-            rooms.sort(key=lambda room: (room.idle, room.cpus))
-        rooms = self._services[shape] = [room for room in rooms if room.takes(spec, room.lower)]
-        yield from [room for room in rooms if spec.image in room.images]
-        yield from rooms
-
-    def for_array(self, spec: JobSpec, shape: Shape) -> list[Room]:
-        """Rooms with free room for a task."""
-        rooms = self._arrays.get(shape)
-        if rooms is None:
+            machines = [machine for machine in self.machines if machine.allows(spec)]
+            machines.sort(key=lambda machine: (machine.idle, machine.cpus))
+        machines = self._services[shape] = [
+            machine for machine in machines if machine.has_room(spec, machine.preemptible)
+        ]
+        yield from [machine for machine in machines if spec.image in machine.images]
+        yield from machines
+
+    def for_array(self, spec: JobSpec, shape: Shape) -> list[MachineCapacity]:
+        """Machines with free room for a task."""
+        machines = self._arrays.get(shape)
+        if machines is None:
             self._specs[shape] = spec
-            rooms = [room for room in self.rooms if room.allows(spec)]
-        rooms = self._arrays[shape] = [room for room in rooms if room.takes(spec, NOTHING)]
-        return rooms
+            machines = [machine for machine in self.machines if machine.allows(spec)]
+        machines = self._arrays[shape] = [machine for machine in machines if machine.has_room(spec, NO_RESOURCES)]
+        return machines
 
     def cpus_for_arrays(self, spec: JobSpec, shape: Shape) -> float:
-        """What all machines that the job allows have for array work.
+        """Total cpus for array tasks on all machines that the job allows.
 
-        Asked for while arrays are planned, when the services have their room already and only new machines add to it.
+        Used while arrays are planned: services have been placed by then, and only new machines change the total.
         """
         if shape not in self._array_cpus:
-            self._array_cpus[shape] = sum(room.for_arrays for room in self.rooms if room.allows(spec))
+            self._array_cpus[shape] = sum(machine.array_cpus for machine in self.machines if machine.allows(spec))
         return self._array_cpus[shape]
 
     def may_add(self, offer: Offer) -> bool:
-        """Whether the plan goes on with these. What one round of hires can't bring is for the next plan to weigh."""
-        return self.planned.get(offer, 0) < RENT_MOST * HIRES
+        """Whether the plan may rent one more machine of the offer; the next plan decides about any beyond the limit."""
+        return self.planned.get(offer, 0) < MAX_RENTED_PER_CALL * MAX_RENT_CALLS_PER_OFFER
 
-    def add(self, offer: Offer, kind: MachineType) -> Room:
-        """One more machine to rent."""
-        room = Room(None, kind, offer.zone, offer.spot)
-        self.rooms.append(room)
+    def add(self, offer: Offer, kind: MachineType) -> MachineCapacity:
+        """Add a machine to rent."""
+        machine = MachineCapacity(None, kind, offer.zone, offer.spot)
+        self.machines.append(machine)
         self.planned[offer] = self.planned.get(offer, 0) + 1
         for shape, spec in self._specs.items():
-            if room.allows(spec):
+            if machine.allows(spec):
                 for table in (self._services, self._arrays):
                     if shape in table:
-                        table[shape].append(room)
+                        table[shape].append(machine)
                 if shape in self._array_cpus:
-                    self._array_cpus[shape] += room.for_arrays
-        return room
+                    self._array_cpus[shape] += machine.array_cpus
+        return machine
--- a/ladderfield/fleet/plan.py
+++ b/ladderfield/fleet/plan.py
@@ -1,154 +1,171 @@
-"""What to rent: a pure decision over the leader's tables.
+"""Decides which machines to rent, as a pure function of the leader's tables.
 
-Services get room of their own, and some is kept for those that will come while a machine boots. Array work is
-seen as a stream: machines are rented until what waits and runs flows off within a horizon, a short one for spot
-machines, a long one (as long as the jobs may wait) for ordinary ones.
+Services get capacity of their own, with some to spare for those that will arrive while a machine boots. Array work is
+treated as a stream: machines are rented until the waiting and running work can finish within a horizon, which is short
+for spot machines and long (as long as the jobs may wait) for on-demand ones.
 """
 
 from __future__ import annotations
 
 import math
 
-from ladderfield.fleet.capacity import Offer, Places, Plan, Rental, Room, slots
+from ladderfield.fleet.capacity import MachineCapacity, Offer, Plan, Rental, ZoneAllowance, slots
 from ladderfield.fleet.returns import ReturnPolicy
 from ladderfield.jobs.model import fits
 from ladderfield.leader.scheduler import Scheduler
 from ladderfield.queues.work import Job, Shape
 from ladderfield.workers.machine import Machine
 
-REFUSED = 4.0  # of report_s: how long a refusal stands before the same is asked again; doubles each time
-REFUSED_MOST = 20.0  # of report_s
-HORIZON = 0.6  # of a type's boot time: array work should flow off spot and present machines within this
-PATIENCE = 0.7  # of a job's slack: how long its tasks may wait before ordinary machines are rented for them
-SPARE = 1.0  # standard deviations over the services expected while a machine is made ready: room kept for them
+REFUSAL_REPORT_INTERVALS = 4.0  # backoff after the cloud has no machine of an offer; doubles each time
+MAX_REFUSAL_REPORT_INTERVALS = 20.0
+HORIZON_BOOT_FACTOR = 0.6  # of a type's boot time: array work should finish on spot and rented machines within it
+SLACK_SHARE = 0.7  # of a job's slack: how long its tasks may wait before on-demand machines are rented
+SPARE_DEVIATIONS = 1.0  # standard deviations above the number of services expected while a machine gets ready
 
 
 class Planner:
-    """Remembers refusals between plans."""
+    """Plans rentals and returns; keeps track of the cloud's refusals between plans."""
 
     def __init__(self, scheduler: Scheduler) -> None:
         self.scheduler = scheduler
-        self.refused: dict[Offer, tuple[float, float]] = {}  # until when, and the pause that led there
-        self.keep: set[str] = set()  # machines that the last plan needs though they are idle
+        self.refusals: dict[Offer, tuple[float, float]] = {}  # until when not to ask, and the backoff in seconds
+        self.needed_hosts: set[str] = set()  # machines on which the last plan placed tasks
         self._return_policy = ReturnPolicy(scheduler)
 
-    def refuse(self, offer: Offer, now: float) -> None:
-        """The cloud had none of these."""
-        pause = self.refused.get(offer, (0.0, REFUSED / 2 * self.scheduler.report_s))[1] * 2
-        pause = min(pause, REFUSED_MOST * self.scheduler.report_s)
-        self.refused[offer] = (now + pause, pause)
+    def note_refusal(self, offer: Offer, now: float) -> None:
+        """Note that the cloud had no machine of the offer."""
+        backoff_s = self.refusals.get(offer, (0.0, REFUSAL_REPORT_INTERVALS / 2 * self.scheduler.report_s))[1] * 2
+        backoff_s = min(backoff_s, MAX_REFUSAL_REPORT_INTERVALS * self.scheduler.report_s)
+        self.refusals[offer] = (now + backoff_s, backoff_s)
 
-    def freed(self, machine: Machine) -> None:
-        """One of these is gone, so there may be one to be had again."""
-        self.refused.pop(Offer(machine.kind.name, machine.zone, machine.spot), None)
+    def note_deleted(self, machine: Machine) -> None:
+        """Note that a machine was deleted, so that the cloud may have one of its offer again."""
+        self.refusals.pop(Offer(machine.kind.name, machine.zone, machine.spot), None)
 
     def rentals(self, now: float) -> list[Rental]:
-        """What to ask for now, given what is up and under way."""
+        """What to rent now, given the machines that are up or booting."""
         scheduler = self.scheduler
-        plan = Plan(Room(machine) for machine in scheduler.machines.values() if self._counts(machine, now))
-        jobs = [job for job in scheduler.jobs.values() if job.final is None and job.waiting > 0]
-        jobs.sort(key=lambda job: (job.order, scheduler.estimates.rating(job, now), job.since))
-        self._services([job for job in jobs if job.spec.service], plan, now)
-        self._arrays([job for job in jobs if not job.spec.service], plan, now)
-        self.keep = {room.host for room in plan.rooms if room.host and room.needed}
+        plan = Plan(
+            MachineCapacity(machine) for machine in scheduler.machines.values() if self._accepts_tasks(machine, now)
+        )
+        jobs = [job for job in scheduler.jobs.values() if job.final_phase is None and job.waiting > 0]
+        jobs.sort(key=lambda job: (job.order, scheduler.estimates.rating(job, now), job.ready_since))
+        self._plan_services([job for job in jobs if job.spec.service], plan, now)
+        self._plan_arrays([job for job in jobs if not job.spec.service], plan, now)
+        self.needed_hosts = {capacity.host for capacity in plan.machines if capacity.host and capacity.needed}
         return [Rental(offer, count) for offer, count in plan.planned.items()]
 
-    def _counts(self, machine: Machine, now: float) -> bool:
-        """Whether the machine can be counted on for new tasks, now or once it is up."""
+    def _accepts_tasks(self, machine: Machine, now: float) -> bool:
+        """Whether the machine can be expected to take new tasks, now or once it is up."""
         detector = self.scheduler.detector
-        leaving = machine.deleting or machine.recall_at is not None
-        alone = machine.cannot_report and not detector.majority_cannot_report
-        faulty = machine.sick or machine.not_hearing_since is not None or alone
-        cut_off = machine.heard_at is not None and detector.cut_off(machine, now)
-        return not (leaving or faulty or cut_off) and bool(machine.kind.cpus)
-
-    def _services(self, jobs: list[Job], plan: Plan, now: float) -> None:
-        """Every waiting replica gets room, if need be in place of lower ranks; and so do those soon to come."""
+        leaving = machine.deleting or machine.interruption_at is not None
+        isolated = machine.cannot_report and not detector.majority_cannot_report
+        faulty = machine.faulty or machine.unreachable_since is not None or isolated
+        unreachable = machine.last_report_at is not None and detector.cut_off(machine, now)
+        return not (leaving or faulty or unreachable) and bool(machine.kind.cpus)
+
+    def _plan_services(self, jobs: list[Job], plan: Plan, now: float) -> None:
+        """Place every waiting replica, by preemption if needed, and those that are expected soon."""
         scheduler = self.scheduler
         for job in jobs:
-            places = Places(job.spec, job.zones)
-            self._give(places, job.shape, min(job.waiting, scheduler.teams.room(job.spec)), plan, now, soon=True)
+            allowance = ZoneAllowance(job.spec, job.zones)
+            self._place_replicas(
+                allowance, job.shape, min(job.waiting, scheduler.teams.room(job.spec)), plan, now, weigh_boot_time=True
+            )
         for stream, job in scheduler.estimates.latest_service.items():
-            places = Places(job.spec, None)
-            offer = self._best(places, 1, (True, False), now)
+            allowance = ZoneAllowance(job.spec, None)
+            offer = self._best_offer(allowance, 1, (True, False), now)
             if offer is not None:
                 kind = scheduler.types[offer.type_name]
-                until = kind.boot_s + kind.fetch_s(job.spec.image_gb)
-                coming = until * scheduler.estimates.arrival_rate(stream, now) * job.spec.tasks
-                self._give(places, job.shape, math.ceil(coming + SPARE * math.sqrt(coming)), plan, now)
-
-    def _give(self, places: Places, shape: Shape, need: int, plan: Plan, now: float, soon: bool = False) -> None:
-        for room in plan.for_service(places.spec, shape):
+                ready_s = kind.boot_s + kind.fetch_s(job.spec.image_gb)
+                expected = ready_s * scheduler.estimates.arrival_rate(stream, now) * job.spec.tasks
+                self._place_replicas(
+                    allowance, job.shape, math.ceil(expected + SPARE_DEVIATIONS * math.sqrt(expected)), plan, now
+                )
+
+    def _place_replicas(
+        self, allowance: ZoneAllowance, shape: Shape, need: int, plan: Plan, now: float, weigh_boot_time: bool = False
+    ) -> None:
+        for capacity in plan.for_service(allowance.spec, shape):
             if need <= 0:
                 return
-            need -= places.place(room, need)
-        while need > 0 and (offer := self._best(places, need, (True, False), now, soon)) and plan.may_add(offer):
-            placed = places.place(plan.add(offer, self.scheduler.types[offer.type_name]), need)
+            need -= allowance.place(capacity, need)
+        while (
+            need > 0
+            and (offer := self._best_offer(allowance, need, (True, False), now, weigh_boot_time))
+            and plan.may_add(offer)
+        ):
+            placed = allowance.place(plan.add(offer, self.scheduler.types[offer.type_name]), need)
             if not placed:
                 break
             need -= placed
 
-    def _arrays(self, jobs: list[Job], plan: Plan, now: float) -> None:
+    def _plan_arrays(self, jobs: list[Job], plan: Plan, now: float) -> None:
         scheduler = self.scheduler
-        load = sum(self._remaining(job, now) for job in scheduler.jobs.values() if job.claims and not job.spec.service)
+        # Work in cpu-seconds that is waiting or running.
+        load = sum(
+            self._remaining_work(job, now) for job in scheduler.jobs.values() if job.claims and not job.spec.service
+        )
         for job in jobs:
-            spec, run = job.spec, scheduler.estimates.run_s(job)
+            spec, run_s = job.spec, scheduler.estimates.run_s(job)
             tasks = min(job.waiting, scheduler.teams.room(spec))
-            load += tasks * spec.cpus * run
-            places = Places(spec, job.zones)
-            for room in plan.for_array(spec, job.shape):
+            load += tasks * spec.cpus * run_s
+            allowance = ZoneAllowance(spec, job.zones)
+            for capacity in plan.for_array(spec, job.shape):
                 if tasks <= 0:
                     break
-                tasks -= places.place(room, tasks, free_only=True)
+                tasks -= allowance.place(capacity, tasks, free_only=True)
             for spot in (True, False) if spec.spot else (False,):
-                while tasks > 0 and (offer := self._best(places, tasks, (spot,), now)):
+                while tasks > 0 and (offer := self._best_offer(allowance, tasks, (spot,), now)):
                     if not plan.may_add(offer):
-                        tasks = 0  # a later plan sees to the rest; nothing dearer is taken for it meanwhile
+                        tasks = 0  # the next plan covers the rest, instead of a more expensive offer now
                         break
                     kind = scheduler.types[offer.type_name]
-                    horizon = HORIZON * kind.boot_s
+                    horizon_s = HORIZON_BOOT_FACTOR * kind.boot_s
                     if not spot:
-                        horizon = max(horizon, PATIENCE * scheduler.estimates.slack(job, now))
-                    if load <= horizon * plan.cpus_for_arrays(spec, job.shape):
+                        horizon_s = max(horizon_s, SLACK_SHARE * scheduler.estimates.slack(job, now))
+                    if load <= horizon_s * plan.cpus_for_arrays(spec, job.shape):
                         break
-                    placed = places.place(plan.add(offer, kind), tasks, free_only=True)
+                    placed = allowance.place(plan.add(offer, kind), tasks, free_only=True)
                     if not placed:
                         break
                     tasks -= placed
 
-    def _remaining(self, job: Job, now: float) -> float:
-        """The cpu-seconds that a job's running tasks still need; one that overstays its estimate needs some more."""
-        run = self.scheduler.estimates.run_s(job)
-        begun = (0.0 if claim.running_at is None else now - claim.running_at for claim in job.claims.values())
-        return job.spec.cpus * sum(max(run - ran, run / 4) for ran in begun)
+    def _remaining_work(self, job: Job, now: float) -> float:
+        """The cpu-seconds that a job's running tasks still need: at least a quarter of the estimate each."""
+        run_s = self.scheduler.estimates.run_s(job)
+        ran_s = (0.0 if claim.running_at is None else now - claim.running_at for claim in job.claims.values())
+        return job.spec.cpus * sum(max(run_s - ran, run_s / 4) for ran in ran_s)
 
-    def _best(self, places: Places, need: int, kinds: tuple[bool, ...], now: float, soon: bool = False) -> Offer | None:
-        """The cheapest offer per task that the job allows and the cloud did not just refuse.
+    def _best_offer(
+        self, allowance: ZoneAllowance, need: int, kinds: tuple[bool, ...], now: float, weigh_boot_time: bool = False
+    ) -> Offer | None:
+        """The offer with the lowest price per task that the job allows and the cloud has not refused recently.
 
-        ``soon`` weighs the price with the time to boot.
+        With ``weigh_boot_time`` the price is multiplied by the boot time.
         """
-        spec = places.spec
+        spec = allowance.spec
         best: tuple[float, Offer] | None = None
         for kind in self.scheduler.types.values():
             if not fits(spec, kind):
                 continue
-            full = slots(spec, kind.cpus, kind.gpus, kind.memory_gb)
+            slots_per_machine = slots(spec, kind.cpus, kind.gpus, kind.memory_gb)
             for zone in kind.zones:
-                if spec.zone not in (None, zone) or places.left(zone) <= 0:
+                if spec.zone not in (None, zone) or allowance.remaining(zone) <= 0:
                     continue
                 if not self.scheduler.zones.may_rent_in(zone, spec, now):
                     continue
                 for spot in kinds:
                     offer = Offer(kind.name, zone, spot)
-                    if (spot and not spec.spot) or self.refused.get(offer, (-math.inf, 0.0))[0] > now:
+                    if (spot and not spec.spot) or self.refusals.get(offer, (-math.inf, 0.0))[0] > now:
                         continue
-                    cost = (kind.spot_price if spot else kind.price) / max(1, min(full, need))
-                    if soon:
+                    cost = (kind.spot_price if spot else kind.price) / max(1, min(slots_per_machine, need))
+                    if weigh_boot_time:
                         cost *= kind.boot_s
                     if best is None or (cost, offer) < best:
                         best = (cost, offer)
         return best[1] if best else None
 
-    def returns(self, now: float) -> list[Machine]:
-        """Idle machines to give back, none of which the last plan needs."""
-        return self._return_policy.returns(self.keep, now)
+    def machines_to_return(self, now: float) -> list[Machine]:
+        """Idle machines to return, none of which the last plan needs."""
+        return self._return_policy.machines_to_return(self.needed_hosts, now)
--- a/ladderfield/fleet/returns.py
+++ b/ladderfield/fleet/returns.py
@@ -1,4 +1,4 @@
-"""What to return: idle machines that nothing foreseen needs; a pure decision over the leader's tables."""
+"""Decides which idle machines to return, as a pure function of the leader's tables."""
 
 from __future__ import annotations
 
@@ -8,73 +8,90 @@
 from ladderfield.leader.scheduler import Scheduler
 from ladderfield.workers.machine import Machine
 
-SLOW_FETCH = 3.0  # of report_s, as long as a machine that is lost goes unnoticed: an image is worth keeping then
-LINGER = 0.7  # of the time to bring an equal machine back (boot, image): so long it may idle before it is returned
-LINGER_AMPLE = 0.15  # the same while there is ample room
-LINGER_LEAST = 1.0  # of report_s
-AMPLE = 1.2  # of the cpus asked for lately
-RECENT = 8.0  # of report_s: what counts as lately
+# A slower image is worth keeping: fetching it takes longer than a lost machine goes unnoticed.
+SLOW_FETCH_REPORT_INTERVALS = 3.0
+MAX_IDLE_FACTOR = 0.7  # of the time to replace the machine (boot, image): how long it may idle
+AMPLE_MAX_IDLE_FACTOR = 0.15  # the same while there is ample capacity
+MIN_IDLE_REPORT_INTERVALS = 1.0
+AMPLE_FACTOR = 1.2  # of the recent demand: cpus beyond that are surplus
+DEMAND_DECAY_REPORT_INTERVALS = 8.0  # time constant of the recent demand's decay
 
 
 class ReturnPolicy:
-    """Remembers how much room was asked for lately."""
+    """Decides about returns, and keeps track of the recent demand for cpus."""
 
     def __init__(self, scheduler: Scheduler) -> None:
         self.scheduler = scheduler
-        self._asked, self._asked_at = 0.0, -math.inf  # cpus asked for, smoothed
+        self._demand_cpus, self._demand_at = 0.0, -math.inf  # decaying demand, and when it was updated
 
-    def returns(self, keep: Collection[str], now: float) -> list[Machine]:
-        """Idle machines that are not to be kept.
+    def machines_to_return(self, needed_hosts: Collection[str], now: float) -> list[Machine]:
+        """Idle machines to return; those in ``needed_hosts`` are kept.
 
-        Soon where there is far more room than was asked for lately, otherwise once they have idled for most of what it
-        would cost to bring them back.
+        A machine is returned soon if there is far more capacity than recent demand, else once it has been idle for most
+        of the time that replacing it would take.
         """
-        live = [one for one in self.scheduler.machines.values() if one.heard_at is not None and not one.deleting]
-        excess = sum(one.kind.cpus for one in live) - AMPLE * self._asked_lately(live, now)
-        warm = self._warm(live, now)
-        cut_off = {one for one in live if self.scheduler.detector.cut_off(one, now)}  # of ample room these go first
-        order = sorted(live, key=lambda one: (one not in cut_off, one.spot, one in warm, -one.kind.price, one.host))
+        live = [
+            machine
+            for machine in self.scheduler.machines.values()
+            if machine.last_report_at is not None and not machine.deleting
+        ]
+        surplus_cpus = sum(machine.kind.cpus for machine in live) - AMPLE_FACTOR * self._recent_demand_cpus(live, now)
+        with_slow_images = self._machines_with_slow_images(live, now)
+        unreachable = {machine for machine in live if self.scheduler.detector.cut_off(machine, now)}  # returned first
+        order = sorted(
+            live,
+            key=lambda machine: (
+                machine not in unreachable,
+                machine.spot,
+                machine in with_slow_images,
+                -machine.kind.price,
+                machine.host,
+            ),
+        )
         result = []
         for machine in order:
-            if machine.claims or machine.idle_since is None or machine.host in keep:
+            if machine.claims or machine.idle_since is None or machine.host in needed_hosts:
                 continue
-            ample = machine.kind.cpus <= excess and machine not in warm
-            if now - machine.idle_since > self._linger_s(machine, ample):
+            ample = machine.kind.cpus <= surplus_cpus and machine not in with_slow_images
+            if now - machine.idle_since > self._max_idle_s(machine, ample):
                 result.append(machine)
-                excess -= machine.kind.cpus
+                surplus_cpus -= machine.kind.cpus
         return result
 
-    def _asked_lately(self, live: list[Machine], now: float) -> float:
-        """The cpus that tasks use or wait for; or that they did lately, if that was more, as it fades."""
+    def _recent_demand_cpus(self, live: list[Machine], now: float) -> float:
+        """The cpus that tasks use or wait for now, or the decaying demand of the recent past if that is higher."""
         scheduler = self.scheduler
-        asked = sum(claim.job.spec.cpus for one in live for claim in one.claims.values())
-        asked += sum(
+        demand_cpus = sum(claim.job.spec.cpus for machine in live for claim in machine.claims.values())
+        demand_cpus += sum(
             min(job.waiting, scheduler.teams.room(job.spec)) * job.spec.cpus
             for job in scheduler.jobs.values()
-            if job.final is None
+            if job.final_phase is None
         )
-        fade = math.exp((self._asked_at - now) / (RECENT * scheduler.report_s))
-        self._asked = asked + fade * (self._asked - asked)
-        self._asked_at = now
-        return max(asked, self._asked)
+        decay = math.exp((self._demand_at - now) / (DEMAND_DECAY_REPORT_INTERVALS * scheduler.report_s))
+        self._demand_cpus = demand_cpus + decay * (self._demand_cpus - demand_cpus)
+        self._demand_at = now
+        return max(demand_cpus, self._demand_cpus)
 
-    def _warm(self, live: list[Machine], now: float) -> set[Machine]:
-        """Ordinary machines with an image that is slow to fetch and that a service may ask for.
+    def _machines_with_slow_images(self, live: list[Machine], now: float) -> set[Machine]:
+        """On-demand machines with a cached image that is slow to fetch and that a service may need.
 
-        A replica that finds its image is up far sooner, so what has none goes first. Where a fetch is quick, to keep
-        them would only gather the replicas in a few places, to be lost together.
+        A replica starts far sooner where its image is cached, so machines without one are returned first. If fetching
+        is quick, keeping them would only concentrate replicas on a few machines that could be lost together.
         """
         estimates = self.scheduler.estimates
         wanted = {stream[1] for stream in estimates.latest_service if estimates.arrival_rate(stream, now)}
-        slow = SLOW_FETCH * self.scheduler.report_s
+        slow_fetch_s = SLOW_FETCH_REPORT_INTERVALS * self.scheduler.report_s
 
         def has_slow_image(machine: Machine) -> bool:
             images = machine.cached.items()
-            return any(image in wanted and machine.kind.fetch_s(size_gb) > slow for image, size_gb in images)
+            return any(image in wanted and machine.kind.fetch_s(size_gb) > slow_fetch_s for image, size_gb in images)
 
-        return {one for one in live if not one.spot and has_slow_image(one)}
+        return {machine for machine in live if not machine.spot and has_slow_image(machine)}
 
-    def _linger_s(self, machine: Machine, ample: bool) -> float:
-        """How long the machine may idle."""
-        again_s = machine.kind.boot_s + machine.kind.fetch_s(max(machine.cached.values(), default=0.0))
-        return max((LINGER_AMPLE if ample else LINGER) * again_s, LINGER_LEAST * self.scheduler.report_s)
+    def _max_idle_s(self, machine: Machine, ample: bool) -> float:
+        """How long the machine may be idle before it is returned."""
+        replacement_s = machine.kind.boot_s + machine.kind.fetch_s(max(machine.cached.values(), default=0.0))
+        return max(
+            (AMPLE_MAX_IDLE_FACTOR if ample else MAX_IDLE_FACTOR) * replacement_s,
+            MIN_IDLE_REPORT_INTERVALS * self.scheduler.report_s,
+        )
--- a/ladderfield/queues/__init__.py
+++ b/ladderfield/queues/__init__.py
@@ -1,1 +1,1 @@
-"""Blocks of tasks, their claims, and the queues they are dealt into: the design's ordinary path."""
+"""Jobs, task claims, and the per-machine queues that tasks are distributed to."""
--- a/ladderfield/queues/test_queues.py
+++ b/ladderfield/queues/test_queues.py
@@ -1,4 +1,4 @@
-"""Dealing, pulling, helping, picking; placement and order at the edge."""
+"""Queues, the choice of the next task, placement rules, tiers and team limits."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import msgspec
 
 from ladderfield.jobs.model import JobSpec, parse_types
-from ladderfield.queues.pick import Queues, Tier, half_up, placeable, tiers, victims
+from ladderfield.queues.pick import Queues, Tier, max_tasks_per_zone, placeable, tiers, victims
 from ladderfield.queues.work import Claim, Job, ranges
 from ladderfield.settings import Team
 from ladderfield.teams import Teams
@@ -18,11 +18,11 @@
 KIND = parse_types(TYPES)["m4"]
 
 
-def make(uid: str = "req-000001", **changes: Any) -> Job:
+def make_job(uid: str = "req-000001", **changes: Any) -> Job:
     """A job with its first block opened."""
-    made = Job(msgspec.convert(job(uid, **changes), JobSpec), 0.0, 256)
-    made.open_next()
-    return made
+    result = Job(msgspec.convert(job(uid, **changes), JobSpec), 0.0, 256)
+    result.open_next()
+    return result
 
 
 def machine(host: str, zone: str = "za", spot: bool = False) -> Machine:
@@ -30,126 +30,126 @@
     return Machine(host, "10.9.0.1:90", KIND, zone, spot, 0.0)
 
 
-def bind(one: Job, index: int, where: Machine) -> Claim:
-    """A claim on a machine."""
-    claim = Claim(one, index, index + 1, where.host, where.about())
-    one.bind(claim)
-    where.take(claim)
+def bind(owner: Job, index: int, on: Machine) -> Claim:
+    """A registered claim of a job's task on a machine."""
+    claim = Claim(owner, index, index + 1, on.host, on.host_record())
+    owner.bind(claim)
+    on.reserve(claim)
     return claim
 
 
-def test_blocks_are_dealt_round_robin_to_machines_that_may_run_them() -> None:
-    one, queues = make(rungs=5, yard="za"), Queues()
+def test_blocks_are_distributed_round_robin_to_machines_that_may_run_them() -> None:
+    in_za, queues = make_job(rungs=5, yard="za"), Queues()
     a, b, other = machine("a"), machine("b"), machine("c", zone="zb")
-    queues.deal(one, [m for m in (a, other, b) if m.allows(one.spec)])
-    assert [list(m.queue[one]) for m in (a, b)] == [[0, 2, 4], [1, 3]]
-    assert not other.queue and one.queued == 5
+    queues.distribute(in_za, [m for m in (a, other, b) if m.allows(in_za.spec)])
+    assert [list(m.queue[in_za]) for m in (a, b)] == [[0, 2, 4], [1, 3]]
+    assert not other.queue and in_za.queued == 5
 
 
-def pull(queues: Queues, one: Machine, machines: list[Machine], jobs: set[Job], score: int = 0) -> Any:
+def pull(queues: Queues, free: Machine, machines: list[Machine], jobs: set[Job], min_locality: int = 0) -> Any:
     """What a free machine pulls in a pass of its own."""
     queues.begin(machines)
-    return queues.pull(one, Tier(False, jobs).eligible(one, score, lambda spec: True, lambda job: True))
+    return queues.pull(free, Tier(False, jobs).eligible(free, min_locality, lambda spec: True, lambda job: True))
 
 
-def test_a_free_machine_pulls_from_its_own_queue_by_locality_then_smallest_id() -> None:
-    first, second = make("req-000001", bundle="img-1"), make("req-000002", bundle="img-2")
+def test_free_machine_pulls_from_its_own_queue_by_locality_then_smallest_id() -> None:
+    first, second = make_job("req-000001", bundle="img-1"), make_job("req-000002", bundle="img-2")
     a, queues = machine("a"), Queues()
-    queues.deal(second, [a])
-    queues.deal(first, [a])
+    queues.distribute(second, [a])
+    queues.distribute(first, [a])
     assert pull(queues, a, [a], {first, second}) == (first, 0, "a")
     a.use_image("img-2", 1.0)
     assert pull(queues, a, [a], {first, second}) == (second, 0, "a")
-    assert pull(queues, a, [a], {first}, 1) is None, "asked for local work only"
+    assert pull(queues, a, [a], {first}, 1) is None, "only jobs with a cached image were requested"
 
 
-def test_an_empty_queue_helps_the_straggler_with_fewest_helpers_then_slowest() -> None:
-    one, queues = make(rungs=9), Queues()
+def test_machine_with_empty_queue_helps_straggler_with_fewest_helpers_then_slowest() -> None:
+    array, queues = make_job(rungs=9), Queues()
     a, b, c = machine("a"), machine("b"), machine("c")
-    queues.deal(one, [a, b])
+    queues.distribute(array, [a, b])
     idle = machine("d")
     a.finished, b.finished = 5, 1
     everyone = [a, b, c, idle]
-    assert pull(queues, idle, everyone, {one}) == (one, 1, "b"), "equal helpers: the slowest"
+    assert pull(queues, idle, everyone, {array}) == (array, 1, "b"), "equal helpers: the slowest"
     queues.helped("b", "c", 1)
-    assert pull(queues, idle, everyone, {one}) == (one, 0, "a"), "b has a helper already"
+    assert pull(queues, idle, everyone, {array}) == (array, 0, "a"), "b has a helper already"
     queues.helped("b", "c", 1)
     queues.helped("b", "c", -1)
-    assert queues.helpers("b") == 1, "c still runs one"
+    assert queues.helpers("b") == 1, "c still runs a task"
     queues.helped("b", "c", -1)
     assert queues.helpers("b") == 0
 
 
-def test_the_order_of_stragglers_is_the_searched_one_at_every_step_of_a_pass() -> None:
-    """Kept in order instead of searched for: both have to be the same."""
+def test_sorted_stragglers_equal_a_full_search_at_every_step_of_a_pass() -> None:
+    """Stragglers are kept sorted during a pass; the result has to equal a search."""
     rng = random.Random(5)
     queues = Queues()
     machines = [machine(f"m{n:02}") for n in range(12)]
-    for one in machines:
-        one.finished = rng.randrange(3)
-    jobs = {make(f"req-{n:06}", rungs=20, cores=0.0) for n in range(4)}
-    for dealt in sorted(jobs, key=lambda job: job.uid):
-        queues.deal(dealt, rng.sample(machines, 5))
+    for each in machines:
+        each.finished = rng.randrange(3)
+    jobs = {make_job(f"req-{n:06}", rungs=20, cores=0.0) for n in range(4)}
+    for array in sorted(jobs, key=lambda job: job.uid):
+        queues.distribute(array, rng.sample(machines, 5))
     queues.begin(machines)
-    while any(dealt.queued for dealt in jobs):
-        helper = rng.choice([one for one in machines if not one.queue] or machines)
-        stragglers = [one for one in machines if one.queue and one is not helper]
-        stragglers.sort(key=lambda one: (queues.helpers(one.host), one.finished, one.host))
+    while any(array.queued for array in jobs):
+        helper = rng.choice([each for each in machines if not each.queue] or machines)
+        stragglers = [each for each in machines if each.queue and each is not helper]
+        stragglers.sort(key=lambda each: (queues.helpers(each.host), each.finished, each.host))
         expected = helper.host if helper.queue else stragglers[0].host
-        pulled = queues.pull(helper, {dealt for dealt in jobs if dealt.queued})
+        pulled = queues.pull(helper, {array for array in jobs if array.queued})
         assert pulled is not None and pulled[2] == expected
         queues.helped(pulled[2], helper.host, 1)
-    queues.rest()
-    for one in machines:
-        one.finished += 1
-    for straggler, helpers in list(queues._helping.items()):
+    queues.end()
+    for each in machines:
+        each.finished += 1
+    for straggler, helpers in list(queues._helper_tasks.items()):
         for helper_host in list(helpers):
-            queues.helped(straggler, helper_host, -1)  # between passes nothing is kept in order
+            queues.helped(straggler, helper_host, -1)  # between passes no sorted list is kept
 
 
-def test_placement_follows_zone_kind_and_the_jobs_other_claims() -> None:
+def test_placement_follows_zone_kind_type_and_other_claims_of_the_job() -> None:
     za, zb, spot = machine("a"), machine("b", zone="zb"), machine("s", spot=True)
-    assert not placeable(make(loaners=False), spot)
-    assert not placeable(make(yard="zb"), za)
-    assert not placeable(make(flavours=["m8"]), za)
-    together = make(oneZone=True, rungs=4)
+    assert not placeable(make_job(loaners=False), spot)
+    assert not placeable(make_job(yard="zb"), za)
+    assert not placeable(make_job(flavours=["m8"]), za)
+    together = make_job(oneZone=True, rungs=4)
     bind(together, 0, za)
     assert placeable(together, machine("a2")) and not placeable(together, zb)
-    apart = make(spread=True, rungs=5)
-    for index in range(half_up(5)):
+    apart = make_job(spread=True, rungs=5)
+    for index in range(max_tasks_per_zone(5)):
         assert placeable(apart, za)
         bind(apart, index, machine(f"m{index}"))
     assert not placeable(apart, za) and placeable(apart, zb)
 
 
-def test_a_released_claim_no_longer_counts_for_placement() -> None:
-    one = make(oneZone=True)
-    claim = bind(one, 0, machine("a"))
-    one.release(claim)
-    assert placeable(one, machine("b", zone="zb"))
+def test_released_claim_no_longer_counts_for_placement() -> None:
+    in_one_zone = make_job(oneZone=True)
+    claim = bind(in_one_zone, 0, machine("a"))
+    in_one_zone.release(claim)
+    assert placeable(in_one_zone, machine("b", zone="zb"))
 
 
-def test_tiers_put_guarantee_before_rank_before_rating() -> None:
+def test_tiers_are_sorted_by_guarantee_then_rank_then_rating() -> None:
     teams = Teams([Team("red", cpus=2.0), Team("blue")])
-    owed = make("req-000001", owner="red", rank="best_effort", rungs=1)
-    high = make("req-000002", owner="blue", rank="production", rungs=1)
-    soon = make("req-000003", owner="blue", rungs=1)
-    late = make("req-000004", owner="blue", rungs=1)
-    jobs = [late, soon, high, owed]
-    for one in jobs:
-        one.queued = 1
-    order = tiers(jobs, teams, lambda one: (False, 2 if one is late else 1), 0.0)
-    assert [(one.owed, one.jobs) for one in order] == [
-        (True, {owed}),
+    guaranteed = make_job("req-000001", owner="red", rank="best_effort", rungs=1)
+    high = make_job("req-000002", owner="blue", rank="production", rungs=1)
+    soon = make_job("req-000003", owner="blue", rungs=1)
+    late = make_job("req-000004", owner="blue", rungs=1)
+    jobs = [late, soon, high, guaranteed]
+    for waiting in jobs:
+        waiting.queued = 1
+    order = tiers(jobs, teams, lambda rated: (False, 2 if rated is late else 1), 0.0)
+    assert [(tier.by_guarantee, tier.jobs) for tier in order] == [
+        (True, {guaranteed}),
         (False, {high}),
         (False, {soon}),
         (False, {late}),
     ]
 
 
-def test_limit_and_guarantee_at_the_edge() -> None:
+def test_team_limit_and_guarantee_at_their_bounds() -> None:
     teams = Teams([Team("red", cpus=4.0, cpus_max=6.0), Team("blue")])
-    spec = make(owner="red", rungs=9).spec
+    spec = make_job(owner="red", rungs=9).spec
     assert teams.room(spec) == 3
     teams.add(spec, 2)
     assert not teams.guaranteed(spec) and teams.room(spec) == 1
@@ -157,19 +157,19 @@
     assert teams.room(spec) == 0 and teams.borrowed()["red"] == 2.0
     teams.add(spec, -1)
     assert teams.room(spec) == 1
-    free = make(owner="blue", rungs=9).spec
+    free = make_job(owner="blue", rungs=9).spec
     teams.add(free, 100)
     assert teams.room(free) == 9, "a limit of 0 means none is set"
     assert not teams.guaranteed(free), "a guarantee of 0 means none is set"
 
 
-def test_victims_lose_the_least_work_and_only_as_much_as_needed() -> None:
-    low, where = make(rank="best_effort"), machine("a")
-    old, new = bind(low, 0, where), bind(low, 1, where)
-    need = make("req-000002", cores=2.0).spec
-    assert victims(where, need, {old: 30.0, new: 3.0}) == [new]
-    assert victims(where, make("req-000003", cores=4.0, memoryGb=15).spec, {new: 3.0}) is None
+def test_preemption_stops_the_fewest_claims_with_the_least_work_lost() -> None:
+    low, full = make_job(rank="best_effort"), machine("a")
+    old, new = bind(low, 0, full), bind(low, 1, full)
+    need = make_job("req-000002", cores=2.0).spec
+    assert victims(full, need, {old: 30.0, new: 3.0}) == [new]
+    assert victims(full, make_job("req-000003", cores=4.0, memoryGb=15).spec, {new: 3.0}) is None
 
 
-def test_finished_tasks_are_kept_as_ranges() -> None:
+def test_finished_tasks_are_stored_as_ranges() -> None:
     assert ranges({5, 1, 2, 3, 9}) == [[1, 3], [5, 5], [9, 9]]
--- a/ladderfield/queues/work.py
+++ b/ladderfield/queues/work.py
@@ -1,8 +1,9 @@
-"""Jobs as the leader holds them: their tasks, and the claims on these.
+"""The leader's in-memory state of jobs, their tasks and the claims on tasks.
 
-A claim is the safety of the whole program. It says that one task, as one attempt, may be on one machine. It is on
-record before the first order goes out, and it binds (no second claim, counted against team and placement) until
-that attempt is surely gone. What decides that is in ``workers``; here is only the bookkeeping.
+Claims are what keeps a task from running twice. A claim says that one attempt of one task may be on one machine. It is
+recorded in the state service before the first order is sent, and it stays in force (no second claim on the task; it
+counts towards the team's use and the placement rules) until the attempt is certain to be gone. ``workers`` decides when
+that is; this module only keeps the books.
 """
 
 from __future__ import annotations
@@ -21,27 +22,27 @@
     return f"{task[0]}/{task[1]}"
 
 
-class Share:
-    """A part of all room that goes to some jobs ahead of their turn, and what their claims hold of it."""
+class CapacityShare:
+    """A limited part of the cluster's cpus that certain jobs may use ahead of the usual order, and its current use."""
 
-    __slots__ = ("held", "limit")
+    __slots__ = ("limit_cpus", "used_cpus")
 
     def __init__(self) -> None:
-        self.held = self.limit = 0.0  # cpus
+        self.used_cpus = self.limit_cpus = 0.0
 
     def allows(self, cpus: float) -> bool:
-        """Whether so much more may be given."""
-        return self.held + cpus <= self.limit
+        """Whether ``cpus`` more fit within the limit."""
+        return self.used_cpus + cpus <= self.limit_cpus
 
 
 class Claim:
-    """One attempt of one task, bound to one machine."""
+    """One attempt of one task, assigned to one machine."""
 
     __slots__ = (
-        "about",
         "attempt",
         "helped",
         "host",
+        "host_record",
         "index",
         "inherited",
         "job",
@@ -50,162 +51,162 @@
         "recorded",
         "running_at",
         "sent_at",
-        "sent_tenure",
-        "sent_tick",
+        "sent_sequence",
+        "sent_session",
         "share",
-        "stop_at",
-        "stopping",
+        "stop_reason",
+        "stop_sent_at",
         "zone",
     )
 
-    def __init__(self, job: Job, index: int, attempt: int, host: str, about: list[Any]) -> None:
-        self.about = about  # the machine's zone, address, type, and whether it is a spot machine
-        self.zone: str = about[0]
+    def __init__(self, job: Job, index: int, attempt: int, host: str, host_record: list[Any]) -> None:
+        self.host_record = host_record  # the machine's zone, endpoint, type, and whether it is a spot machine
+        self.zone: str = host_record[0]
         self.job, self.index, self.attempt, self.host = job, index, attempt, host
-        self.page: int | None = None  # the number of the page that holds it
-        self.recorded = False  # in the state service: only then may the launch go out
-        self.inherited = False  # made by an earlier leader, whose order may be out or not
+        self.page: int | None = None  # number of the page that the claim is recorded in
+        self.recorded = False  # stored in the state service; the launch may be sent only then
+        self.inherited = False  # made by an earlier leader, which may or may not have sent the launch
         self.phase: str | None = None  # as last reported
         self.running_at: float | None = None
-        self.sent_tenure: int | None = None  # the session the launch was last sent to
+        self.sent_session: int | None = None  # session of the worker that the launch was last sent to
         self.sent_at = 0.0
-        self.sent_tick = 0  # the report whose answer carried it
-        self.stopping: str | None = None  # why it is being stopped
-        self.stop_at = -math.inf  # when the stop was last sent
-        self.share: Share | None = None  # of which it was given room ahead of its turn
-        self.helped: str | None = None  # the machine from whose queue it was taken
+        self.sent_sequence = 0  # sequence number of the report whose answer carried the launch
+        self.stop_reason: str | None = None  # why the attempt is being stopped; None while it is not
+        self.stop_sent_at = -math.inf  # time of the last stop order
+        self.share: CapacityShare | None = None  # the capacity share that its cpus count towards
+        self.helped: str | None = None  # host of the straggler whose queue the task came from
 
     @property
     def task(self) -> TaskId:
-        """The task's id."""
+        """The id of the task."""
         return (self.job.uid, self.index)
 
 
 class Record:
-    """A key on which accepted jobs stand; it may go once none of them lives."""
+    """A state-service key that stores accepted jobs; it is deleted once none of them is live."""
 
-    __slots__ = ("key", "live", "stamp")
+    __slots__ = ("key", "live_jobs", "stamp")
 
     def __init__(self, key: str, stamp: int) -> None:
         self.key, self.stamp = key, stamp
-        self.live: set[str] = set()  # jobs that are not over, or not off all machines
+        self.live_jobs: set[str] = set()  # jobs that have not ended or may still have attempts on machines
 
 
 class Job:
-    """An accepted job that is not yet over, or whose claims still bind."""
+    """An accepted job that has not ended, or that still has claims."""
 
     __slots__ = (
-        "_usual",
-        "at",
+        "_median_run_s",
+        "accepted_at",
         "block",
         "blocks",
         "claims",
+        "consecutive_errors",
         "due",
         "ended_at",
-        "errors",
         "failed_hosts",
-        "final",
-        "final_seen",
+        "final_phase",
+        "final_visible",
         "finished",
-        "finished_s",
-        "held",
         "next_block",
         "not_before",
         "order",
+        "pending_dependencies",
         "queued",
+        "ready_since",
         "records",
+        "reserved_hosts",
+        "run_times_s",
         "shape",
-        "since",
         "spec",
         "uid",
-        "undealt",
-        "unsettled",
-        "waits",
+        "unqueued",
+        "unrecorded_done",
         "zones",
     )
 
-    def __init__(self, spec: JobSpec, at: float, block: int) -> None:
-        self.spec, self.uid, self.at, self.block = spec, spec.uid, at, block
-        self.waits: set[str] = set()  # jobs it needs that are not, on record, done: until then it is nothing but queued
-        self.since = at  # when the last of them was done: from then on its wait counts
-        self.due: tuple[float, float] | None = None  # time of day, and seconds allowed, for those that wait for it
-        self.ended_at: float | None = None  # when its last task ended
-        self.records: list[Record] = []  # one, or more after a retry at another controller
-        self.final: str | None = None  # once on record
-        self.final_seen = False  # the view has told so too; all records that name the job came before that
+    def __init__(self, spec: JobSpec, accepted_at: float, block: int) -> None:
+        self.spec, self.uid, self.accepted_at, self.block = spec, spec.uid, accepted_at, block
+        self.pending_dependencies: set[str] = set()  # not recorded as done; nothing starts until it is empty
+        self.ready_since = accepted_at  # when the last dependency was done; waiting time counts from here
+        self.due: tuple[float, float] | None = None  # deadline (wall clock) and allowed seconds, from dependent jobs
+        self.ended_at: float | None = None  # when the last task ended
+        self.records: list[Record] = []  # more than one after a retry at another controller
+        self.final_phase: str | None = None  # done or cancelled, once recorded
+        self.final_visible = False  # also seen in the view, so all records that name the job were read
         self.blocks = block_count(spec.tasks, block)
-        self.next_block = 0  # blocks are opened in order, as there is use for them
-        self.undealt: list[int] = []  # tasks of opened blocks, in no machine's queue
-        self.queued = 0  # tasks in machines' queues
+        self.next_block = 0  # blocks are opened in order, on demand
+        self.unqueued: list[int] = []  # tasks of opened blocks that are in no machine's queue
+        self.queued = 0  # number of tasks in machines' queues
         self.finished: set[int] = set()
-        self.unsettled: set[int] = set()  # finished, but not on record yet
+        self.unrecorded_done: set[int] = set()  # tasks that finished, but are not recorded as done yet
         self.claims: dict[int, Claim] = {}
-        self.zones: dict[str, int] = {}  # claims by zone, for placement
-        self.errors = 0  # in a row, without a success between
-        self.failed_hosts: dict[str, float] = {}  # since the last success; until when its tasks avoid each
-        self.not_before = 0.0
-        self.held: dict[str, float] = {}  # machines being cleared for its tasks, and until when
-        self.finished_s: list[float] = []  # run times seen
-        self.order = (RANKS[spec.rank],)  # or that of a job that waits for it
+        self.zones: dict[str, int] = {}  # number of claims by zone, for the placement rules
+        self.consecutive_errors = 0  # failed tasks since the last success
+        self.failed_hosts: dict[str, float] = {}  # host -> until when tasks avoid it; cleared by a success
+        self.not_before = 0.0  # no task starts earlier (backoff after failures)
+        self.reserved_hosts: dict[str, float] = {}  # host -> until when the room freed there by preemption is reserved
+        self.run_times_s: list[float] = []  # run times of finished tasks
+        self.order = (RANKS[spec.rank],)  # the rank, or a better one inherited from a dependent job
         types = None if spec.types is None else tuple(spec.types)
-        # All that decides whether a task of it fits a machine and its team's account.
+        # Everything that decides whether a task fits a machine and its team's quota.
         self.shape: Shape = (spec.team, spec.cpus, spec.gpus, spec.memory_gb, spec.spot, spec.zone, types)
-        self._usual: tuple[int, float] = (0, 0.0)  # how many run times were seen, and the middle of them
+        self._median_run_s: tuple[int, float] = (0, 0.0)  # number of run times, and their median
 
     @property
     def done(self) -> int:
-        """How many tasks are done."""
+        """Number of finished tasks."""
         return len(self.finished)
 
     @property
     def complete(self) -> bool:
-        """All tasks done."""
+        """Whether all tasks have finished."""
         return self.done >= self.spec.tasks
 
     @property
-    def begun(self) -> bool:
-        """Whether any task runs or is done."""
+    def has_started(self) -> bool:
+        """Whether any task is claimed or finished."""
         return bool(self.claims or self.finished)
 
     @property
     def waiting(self) -> int:
-        """Tasks neither done nor claimed that may start."""
-        return 0 if self.waits else self.spec.tasks - self.done - len(self.claims)
+        """Number of tasks that may start and are neither finished nor claimed."""
+        return 0 if self.pending_dependencies else self.spec.tasks - self.done - len(self.claims)
 
     def open_next(self) -> bool:
-        """Bring the next block's free tasks into play; False if there is none left."""
+        """Make the next block's tasks available for queueing; False if all blocks are open."""
         if self.next_block >= self.blocks:
             return False
         first = self.next_block * self.block
         self.next_block += 1
         last = min(first + self.block, self.spec.tasks)
-        self.undealt += [n for n in range(first, last) if n not in self.finished and n not in self.claims]
+        self.unqueued += [n for n in range(first, last) if n not in self.finished and n not in self.claims]
         return True
 
     def bind(self, claim: Claim) -> None:
-        """A claim begins to count."""
+        """Register a claim."""
         self.claims[claim.index] = claim
         self.zones[claim.zone] = self.zones.get(claim.zone, 0) + 1
 
     def release(self, claim: Claim) -> None:
-        """A claim's attempt is surely gone."""
+        """Remove a claim whose attempt is certain to be gone."""
         del self.claims[claim.index]
         self.zones[claim.zone] -= 1
 
     def run_s(self, bias: float = 1.0) -> float:
-        """Expected run time of a task: the middle of what was seen, else the owner's estimate.
+        """Expected run time of a task: the median of its finished tasks, else the owner's estimate.
 
-        The estimate is set right by how far off the estimates of its class were lately.
+        ``bias`` corrects the estimate by the recent ratio of true to estimated run times in the job's class.
         """
-        if self.finished_s:
-            if self._usual[0] != len(self.finished_s):
-                self._usual = (len(self.finished_s), sorted(self.finished_s)[len(self.finished_s) // 2])
-            return self._usual[1]
+        if self.run_times_s:
+            if self._median_run_s[0] != len(self.run_times_s):
+                self._median_run_s = (len(self.run_times_s), sorted(self.run_times_s)[len(self.run_times_s) // 2])
+            return self._median_run_s[1]
         return self.spec.estimate_s * bias
 
 
 def ranges(numbers: set[int]) -> list[list[int]]:
-    """Numbers as sorted [first, last] ranges."""
+    """The numbers as sorted, inclusive [first, last] ranges."""
     result: list[list[int]] = []
     for number in sorted(numbers):
         if result and number == result[-1][1] + 1:
--- a/ladderfield/workers/__init__.py
+++ b/ladderfield/workers/__init__.py
@@ -1,1 +1,1 @@
-"""Workers: their sessions, leases, reports and orders."""
+"""Workers: machine state, sessions, leases, reports and orders."""
--- a/ladderfield/workers/machine.py
+++ b/ladderfield/workers/machine.py
@@ -1,4 +1,4 @@
-"""One machine as the leader knows it."""
+"""The leader's in-memory state of one machine."""
 
 from __future__ import annotations
 
@@ -10,200 +10,201 @@
 from ladderfield.jobs.model import JobSpec, MachineType, fits
 from ladderfield.queues.work import Claim, Job, TaskId
 
-SLACK = 1e-9
-UNKNOWN = MachineType("", 0, 0, 0, 0, 0, 0, 0, 0, [])  # fits nothing: a machine known by name only
+TOLERANCE = 1e-9  # rounding error in sums of resources
+UNKNOWN = MachineType("", 0, 0, 0, 0, 0, 0, 0, 0, [])  # fits no task: the type of a machine known only by its name
 
 
 class Machine:
-    """A rented machine, from its first sighting until it is surely gone."""
+    """A rented machine, from its first mention until it is certain to be gone."""
 
     __slots__ = (
         "answered",
         "answered_at",
-        "blamed",
-        "born_at",
         "cached",
         "cannot_report",
         "claims",
         "cpus",
+        "created_at",
         "deleting",
-        "detour_at",
         "endpoint",
         "epoch",
+        "epoch_confirmed_at",
+        "failed_jobs",
+        "faulty",
         "finished",
-        "fresh_at",
+        "first_report_at",
         "gpus",
-        "heard_at",
-        "hold_rank",
-        "hold_until",
         "host",
         "idle_since",
-        "ignored_signs",
+        "interruption_at",
         "kind",
+        "last_report_at",
         "listed",
+        "low_rank_replicas",
         "memory_gb",
-        "not_hearing_since",
         "preemptible",
         "queue",
-        "recall_at",
         "relayed",
+        "relayed_since",
         "replicas",
-        "replicas_low",
-        "reported_at",
-        "seen",
-        "sick",
+        "reported_tasks",
+        "reserved_rank",
+        "reserved_until",
+        "sequence",
+        "session",
         "spot",
-        "tenure",
-        "tick",
         "unanswered_launches",
-        "up_at",
+        "unreachable_signs",
+        "unreachable_since",
+        "unsolicited_report_at",
         "zone",
     )
 
     def __init__(self, host: str, endpoint: str, kind: MachineType, zone: str, spot: bool, now: float) -> None:
         self.host, self.endpoint, self.kind, self.zone, self.spot = host, endpoint, kind, zone, spot
-        self.born_at = now
-        self.heard_at: float | None = None  # last report taken in, in this term
-        self.up_at: float | None = None  # first report taken in, in this term
-        self.fresh_at: float | None = None  # last report that shows our epoch: no copy from before this term can
-        self.reported_at: float | None = None  # last time that it came by itself, with our epoch
-        self.cannot_report = False  # it answers what we send, but has not come by itself for too long
-        self.answered_at: float | None = None  # last report answered, in this term
-        self.answered: tuple[int, int] | None = None  # tenure and tick of the newest of these
-        self.ignored_signs = 0  # signs in a row that what we tell it does not arrive
-        self.not_hearing_since: float | None = None  # since these were enough to believe it
-        self.relayed = False  # its last report came by way of another controller
-        self.detour_at = -math.inf  # since when that has been so, or was last
-        self.tenure = self.tick = self.epoch = 0
-        self.recall_at: float | None = None
+        self.created_at = now
+        self.last_report_at: float | None = None  # in this term
+        self.first_report_at: float | None = None  # in this term
+        # Last report that shows this leader's epoch, which no copy from before the term can.
+        self.epoch_confirmed_at: float | None = None
+        # Last report, with this leader's epoch, that the machine sent on its own and not as an answer to a push.
+        self.unsolicited_report_at: float | None = None
+        self.cannot_report = False  # it answers pushes, but has not sent a report on its own for too long
+        self.answered_at: float | None = None  # time of the last answered report in this term
+        self.answered: tuple[int, int] | None = None  # session and sequence number of the newest answered report
+        self.unreachable_signs = 0  # consecutive signs that it does not receive our answers
+        self.unreachable_since: float | None = None  # since when it is considered not to receive our answers
+        self.relayed = False  # whether another controller relayed its last report
+        self.relayed_since = -math.inf  # when the current or latest period of relaying began
+        self.session = self.sequence = self.epoch = 0
+        self.interruption_at: float | None = None  # after a spot interruption notice
         self.claims: dict[TaskId, Claim] = {}
-        self.seen: dict[TaskId, tuple[int, str]] = {}  # as last reported: attempt, phase
-        self.unanswered_launches: dict[
-            int, int
-        ] = {}  # attempts of this session with so many unanswered launches by /orders
+        self.reported_tasks: dict[TaskId, tuple[int, str]] = {}  # attempt and phase, from the last report
+        # attempt -> number of launches pushed to /orders in this session without an answer
+        self.unanswered_launches: dict[int, int] = {}
         self.queue: dict[Job, deque[int]] = {}
         self.cpus, self.gpus, self.memory_gb = kind.cpus, kind.gpus, kind.memory_gb  # free
-        self.preemptible = [0.0, 0.0, 0.0]  # cpus, gpus, memory held by array tasks below production rank
-        self.replicas = self.replicas_low = 0  # claims of services, and of those below production rank
-        self.cached: dict[str, float] = {}  # images that ran here, oldest use first
-        self.finished = 0
-        self.blamed: set[str] = set()  # jobs whose tasks failed here since the last success
-        self.sick = self.deleting = False
-        self.hold_rank, self.hold_until = 0, -math.inf  # room being cleared for this rank or better
+        self.preemptible = [0.0, 0.0, 0.0]  # cpus, gpus, memory used by array tasks below production rank
+        self.replicas = self.low_rank_replicas = 0  # claims of services; those below production rank
+        self.cached: dict[str, float] = {}  # image -> size in GB, least recently used first
+        self.finished = 0  # number of tasks finished here
+        self.failed_jobs: set[str] = set()  # jobs with a task that failed here since the last success
+        self.faulty = self.deleting = False
+        self.reserved_rank, self.reserved_until = 0, -math.inf  # freed room is reserved for this rank or better
         self.idle_since: float | None = now
-        self.listed: str | None = None
+        self.listed: str | None = None  # phase in the cloud's list
 
-    def about(self) -> list[Any]:
-        """What a claim's record says of the machine."""
+    def host_record(self) -> list[Any]:
+        """The description of the machine that is recorded with its claims."""
         return [self.zone, self.endpoint, self.kind.name, self.spot]
 
     def allows(self, spec: JobSpec) -> bool:
-        """Whether type, zone and kind are allowed for the job."""
+        """Whether the job may use this machine type, in this zone, as spot or on-demand machine."""
         if self.kind is UNKNOWN:
             return False
         return (spec.spot or not self.spot) and spec.zone in (None, self.zone) and fits(spec, self.kind)
 
     def has_room(self, spec: JobSpec) -> bool:
-        """Whether one more task fits beside the claims."""
+        """Whether one more task fits beside the current claims."""
         return (
-            spec.cpus <= self.cpus + SLACK
-            and spec.memory_gb <= self.memory_gb + SLACK
-            and spec.gpus <= self.gpus + SLACK
+            spec.cpus <= self.cpus + TOLERANCE
+            and spec.memory_gb <= self.memory_gb + TOLERANCE
+            and spec.gpus <= self.gpus + TOLERANCE
         )
 
     @property
-    def keeps_up(self) -> bool:
-        """Whether a replica runs here, so that the machine stays whatever else it does."""
+    def runs_replica(self) -> bool:
+        """Whether a replica runs here; such a machine is kept whatever else runs on it."""
         return self.replicas > 0
 
-    def could_clear(self, spec: JobSpec) -> bool:
-        """Whether one more production task might fit if all lower ranks left."""
-        return self.replicas_low > 0 or (
-            spec.cpus <= self.cpus + self.preemptible[0] + SLACK
-            and spec.memory_gb <= self.memory_gb + self.preemptible[2] + SLACK
-            and spec.gpus <= self.gpus + self.preemptible[1] + SLACK
+    def may_fit_after_preemption(self, spec: JobSpec) -> bool:
+        """Whether one more production task might fit if all tasks of lower rank were preempted."""
+        return self.low_rank_replicas > 0 or (
+            spec.cpus <= self.cpus + self.preemptible[0] + TOLERANCE
+            and spec.memory_gb <= self.memory_gb + self.preemptible[2] + TOLERANCE
+            and spec.gpus <= self.gpus + self.preemptible[1] + TOLERANCE
         )
 
-    def _count(self, claim: Claim, by: int) -> None:
+    def _count(self, claim: Claim, change: int) -> None:
         spec = claim.job.spec
-        self.cpus -= by * spec.cpus
-        self.gpus -= by * spec.gpus
-        self.memory_gb -= by * spec.memory_gb
-        self.replicas += by * spec.service
+        self.cpus -= change * spec.cpus
+        self.gpus -= change * spec.gpus
+        self.memory_gb -= change * spec.memory_gb
+        self.replicas += change * spec.service
         if claim.job.order[0] > 0 and spec.service:
-            self.replicas_low += by
+            self.low_rank_replicas += change
         elif claim.job.order[0] > 0:
-            self.preemptible[0] += by * spec.cpus
-            self.preemptible[1] += by * spec.gpus
-            self.preemptible[2] += by * spec.memory_gb
+            self.preemptible[0] += change * spec.cpus
+            self.preemptible[1] += change * spec.gpus
+            self.preemptible[2] += change * spec.memory_gb
 
-    def take(self, claim: Claim) -> None:
-        """Bind room for a claim."""
+    def reserve(self, claim: Claim) -> None:
+        """Reserve the resources of a claim."""
         self.claims[claim.task] = claim
         self._count(claim, 1)
         self.idle_since = None
 
     def free(self, claim: Claim, now: float) -> None:
-        """Give the room back."""
+        """Release the resources of a claim."""
         del self.claims[claim.task]
         self._count(claim, -1)
         if not self.claims:
-            # Nothing is left of what rounding has gathered.
+            # Clears accumulated rounding errors.
             self.cpus, self.gpus, self.memory_gb = self.kind.cpus, self.kind.gpus, self.kind.memory_gb
             self.preemptible = [0.0, 0.0, 0.0]
             self.idle_since = now
 
     def use_image(self, image: str, size_gb: float) -> None:
-        """The machine has fetched or used an image; the least recently used make room."""
+        """Note that an image was fetched or used; the least recently used are evicted if the cache is full."""
         self.cached.pop(image, None)
         self.cached[image] = size_gb
         while len(self.cached) > 1 and sum(self.cached.values()) > self.kind.cache_gb:
             del self.cached[next(iter(self.cached))]
 
     def usable(self, now: float, silence_s: float) -> bool:
-        """Whether new work may be given to it.
+        """Whether new tasks may be assigned to it.
 
-        Only a machine that has shown our epoch: a late copy of a report, which may be all that is left of a machine,
-        looks like a sign of life otherwise, and one that our answers don't reach would take work it never starts.
+        Only a report that shows this leader's epoch counts as a sign of life. A late copy of an older report may be all
+        that remains of a machine, and a machine that does not receive our answers would never start its tasks.
         """
         return (
-            self.fresh_at is not None
-            and now - self.fresh_at <= silence_s
-            and self.recall_at is None
-            and self.not_hearing_since is None
-            and not (self.deleting or self.sick or self.cannot_report)
+            self.epoch_confirmed_at is not None
+            and now - self.epoch_confirmed_at <= silence_s
+            and self.interruption_at is None
+            and self.unreachable_since is None
+            and not (self.deleting or self.faulty or self.cannot_report)
         )
 
     def silent_for(self, now: float, term_from: float) -> float:
-        """How long it has shown no sign of being well: of having taken our epoch."""
-        since = self.fresh_at
+        """Time since the machine last showed that it has accepted this leader's epoch."""
+        since = self.epoch_confirmed_at
         if since is None:
-            since = term_from if self.up_at is None else self.up_at
+            since = term_from if self.first_report_at is None else self.first_report_at
         return now - since
 
-    def came(self, relayed: bool, now: float) -> None:
-        """A report came straight, or by way of another controller."""
+    def note_route(self, relayed: bool, now: float) -> None:
+        """Note whether a report came directly or was relayed by another controller."""
         if relayed and not self.relayed:
-            self.detour_at = now
+            self.relayed_since = now
         self.relayed = relayed
 
-    def confirm_hearing(self) -> None:
-        """Something that we told it has arrived."""
-        self.ignored_signs, self.not_hearing_since = 0, None
+    def confirm_reachable(self) -> None:
+        """Note that the machine has received something that this leader sent."""
+        self.unreachable_signs, self.unreachable_since = 0, None
 
     def lease_over_at(self, epoch: int, term_from: float, others_until: float, lease_s: float) -> float:
-        """When its lease is surely over.
+        """The time after which its lease is certain to have expired.
 
-        It runs from our last answer, or from the session's begin, which came before we last heard of it. Until
-        the machine has accepted our epoch, an earlier leader may be answering it as well: until ``others_until``.
+        The lease runs from the last answer, or from the start of the session, which is before the last report. Until
+        the machine has accepted ``epoch``, an earlier leader may be answering it too, until ``others_until``.
         """
-        last = max(term_from, self.answered_at or term_from, self.heard_at or term_from)
+        last = max(term_from, self.answered_at or term_from, self.last_report_at or term_from)
         if self.epoch != epoch:
             last = max(last, others_until)
         return last + lease_s * CLOCKS
 
-    def learn(self, endpoint: str, kind: MachineType, zone: str, spot: bool) -> None:
-        """The list or a report told what was only a name on a claim so far."""
+    def set_details(self, endpoint: str, kind: MachineType, zone: str, spot: bool) -> None:
+        """Fill in the details of a machine from the cloud's list or a report; a claim may have given only its name."""
         self.endpoint, self.zone, self.spot = endpoint or self.endpoint, zone, spot
         if kind.name != self.kind.name:
             self.cpus += kind.cpus - self.kind.cpus
--- a/ladderfield/workers/orders.py
+++ b/ladderfield/workers/orders.py
@@ -1,4 +1,4 @@
-"""What workers are told, as it goes over the wire: in the answer to a report, or pushed over ``/orders``."""
+"""The wire format of orders to workers, sent in the answer to a report or pushed to ``/orders``."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Order(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One thing to do with one attempt."""
+    """An order to launch, stop or reap one attempt."""
 
     verb: Literal["launch", "stop", "reap"]
     task: str = msgspec.field(name="rung")
@@ -19,17 +19,17 @@
 
     @classmethod
     def launch(cls, task: TaskId, attempt: int) -> Order:
-        """Begin an attempt."""
+        """Start an attempt."""
         return cls("launch", task_name(task), attempt)
 
     @classmethod
     def stop(cls, task: TaskId, attempt: int, wind_down_s: float) -> Order:
-        """End an attempt, which has so long to save its work."""
+        """Stop an attempt; it has ``wind_down_s`` to save its work."""
         return cls("stop", task_name(task), attempt, wind_down_s)
 
     @classmethod
     def reap(cls, task: TaskId, attempt: int) -> Order:
-        """Forget an attempt that has exited, as its end is on record."""
+        """Drop an exited attempt from the worker's reports; its end is recorded."""
         return cls("reap", task_name(task), attempt)
 
 
@@ -41,8 +41,8 @@
 
 
 class OrdersRequest(msgspec.Struct, frozen=True):
-    """The body of a push; ``tenure`` is the session for which its orders were made."""
+    """The body of a push; ``session`` is the worker's session that its orders are for."""
 
     epoch: int
-    tenure: int
+    session: int = msgspec.field(name="tenure")
     orders: list[Order]
--- a/ladderfield/workers/test_old_messages.py
+++ b/ladderfield/workers/test_old_messages.py
@@ -1,4 +1,4 @@
-"""Messages that come late: reports, commands and transactions of before, after what was decided since."""
+"""Late messages: reports, orders and transactions that take effect after newer decisions."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 }
 
 
-async def _asked_until(checker: ConsistencyChecker, verb: str, uid: str, status: tuple[int, ...]) -> None:
-    """A user who asks again elsewhere, as users do."""
+async def _request_until(checker: ConsistencyChecker, verb: str, uid: str, status: tuple[int, ...]) -> None:
+    """Repeat a user's request at one controller after the other until it gets one of the statuses."""
     for number in range(60):
         observation = await checker.ask(number % 3, verb, uid)
         if observation is not None and observation.status in status:
@@ -34,85 +34,85 @@
 
 
 class Unanswered:
-    """Transactions of one writer that are not answered: carried out after newer ones, or at once."""
+    """Leaves transactions of one writer unanswered; they are applied after newer ones (``late``) or at once."""
 
     def __init__(self, state: StateService, writer: str, late: bool) -> None:
         self.state, self.writer = state, writer
-        self.most = self.left = 1 if writer == "elections" else 3
+        self.total = self.remaining = 1 if writer == "elections" else 3
         if late:
             state.keeps = self._is_lost
         else:
             state.answer_s = lambda keys: math.inf if self._is_lost(keys) else 0.0
 
     def _is_lost(self, keys: list[str]) -> bool:
-        found = self.left > 0 and any(key.startswith(WRITERS[self.writer]) for key in keys)
-        self.left -= found
+        found = self.remaining > 0 and any(key.startswith(WRITERS[self.writer]) for key in keys)
+        self.remaining -= found
         return found
 
     def carry_out(self) -> None:
-        """Carry out what was kept back; it has to do nothing."""
+        """Apply the delayed transactions; they must have no effect."""
         before = dict(self.state.keys)
-        assert not set(self.state.carry_out()) - {409}, "what is carried out after newer ones does nothing"
+        assert not set(self.state.carry_out()) - {409}, "a transaction applied after newer ones must have no effect"
         assert self.state.keys == before
 
 
 async def _elect_anew(whole: Cluster, unanswered: Unanswered) -> None:
-    """The leader ends, another is elected, and what was kept back is carried out then."""
+    """Crash the leader and apply the delayed transactions once another is elected."""
     first = whole.leader()
     whole.crash(first)
-    while not any(one.reports.inbox is not None for one in whole.controllers.values()):
+    while not any(controller.reports.inbox is not None for controller in whole.controllers.values()):
         await trio.sleep(0.05)
-    unanswered.carry_out()  # while the lease of an election that was asked for again may last
+    unanswered.carry_out()  # while the lease of a repeated election may still be valid
     whole.start(first)
     await trio.sleep(6)
 
 
 @pytest.mark.parametrize("late", [True, False], ids=["late", "answer lost"])
 @pytest.mark.parametrize("writer", list(WRITERS))
-async def test_transactions_without_an_answer_do_no_harm(
+async def test_unanswered_transactions_do_no_harm_when_applied_late_or_at_once(
     monkeypatch: pytest.MonkeyPatch, writer: str, late: bool
 ) -> None:
-    """Of each writer some are carried out only after newer ones, or at once, with others reading what they wrote."""
+    """Each writer's unanswered transactions are applied after newer ones, or at once so that others read them."""
     async with cluster(monkeypatch) as whole:
         checker = ConsistencyChecker(whole)
         unanswered = Unanswered(whole.state, writer, late)
         if writer == "rollout":
             for number in range(3):
                 whole.state._apply({"guards": [], "apply": [{"put": f"lf/v/n{number}", "value": {"level": 0}}]})
-        steady, ends, off = "req-000001", "req-000002", "req-000003"
+        steady, finite, cancelled = "req-000001", "req-000002", "req-000003"
         whole.jobs |= {
             steady: job(steady, shape="daemon"),
-            ends: job(ends, rungs=4, cores=1.0),
-            off: job(off, shape="daemon", cores=1.0),
+            finite: job(finite, rungs=4, cores=1.0),
+            cancelled: job(cancelled, shape="daemon", cores=1.0),
         }
         for uid in whole.jobs:
-            await _asked_until(checker, "POST", uid, (200, 201))
-        await whole.busy(off)
-        await checker.ask_concurrently(off, 0.1)
-        await _asked_until(checker, "cancel", off, (200,))
-        await checker.ask_concurrently(off, 0.1)
-        await whole.until(0, ends, "done", 60)
-        await checker.ask_concurrently(ends, 0.1)
+            await _request_until(checker, "POST", uid, (200, 201))
+        await whole.busy(cancelled)
+        await checker.ask_concurrently(cancelled, 0.1)
+        await _request_until(checker, "cancel", cancelled, (200,))
+        await checker.ask_concurrently(cancelled, 0.1)
+        await whole.until(0, finite, "done", 60)
+        await checker.ask_concurrently(finite, 0.1)
         await trio.sleep(2 * REPORT_S)
         unanswered.carry_out()
         await _elect_anew(whole, unanswered)
-        assert unanswered.left < unanswered.most, "it was met"
+        assert unanswered.remaining < unanswered.total, "a transaction was left unanswered"
         epoch = whole.controllers[whole.leader()].leadership.known_epoch()
-        assert epoch <= 2 + (writer == "elections" and not late), "and ends no term"
-        for uid, phase in ((steady, "running"), (ends, "done"), (off, "cancelled")):
+        assert epoch <= 2 + (writer == "elections" and not late), "no other term may end"
+        for uid, phase in ((steady, "running"), (finite, "done"), (cancelled, "cancelled")):
             await checker.ask_concurrently(uid, 0.05, ("GET", "POST"))
             assert [await whole.phase(node, uid) for node in range(3)] == [phase] * 3
         checker.check()
-        assert len(whole.starts(steady)) == 2 and len(whole.starts(ends)) == 4 and not checker.on(off)
+        assert len(whole.starts(steady)) == 2 and len(whole.starts(finite)) == 4 and not checker.on(cancelled)
 
 
-async def _old(whole: Cluster, uid: str, what: str) -> tuple[Worker, list[dict[str, Any]]]:
-    """A machine and reports of it that are no longer so."""
+async def _outdated(whole: Cluster, uid: str, origin: str) -> tuple[Worker, list[dict[str, Any]]]:
+    """A machine and some of its reports that are out of date."""
     worker = await whole.busy(uid)
-    if what == "an earlier attempt":
+    if origin == "an earlier attempt":
         worker.fail, worker.ends[f"{uid}/0"] = {uid}, 0.0
         await trio.sleep(2 * REPORT_S)
-    elif what == "an earlier session":
+    elif origin == "an earlier session":
         await trio.sleep(REPORT_S)
         whole.cloud.down = True
         whole.net.cut.add(worker.address)
@@ -121,23 +121,26 @@
         whole.cloud.down = False
         await trio.sleep(2 * REPORT_S)
         assert worker.tenure == 2
-    elif what == "before the launch":
+    elif origin == "before the launch":
         return worker, [body for body in worker.sent if uid not in str(body["rungs"])]
     assert len(whole.starts(uid)) == 2
     return worker, [body for body in worker.sent if body["tenure"] == 1 and uid in str(body["rungs"])]
 
 
-@pytest.mark.parametrize("what", ["an earlier attempt", "an earlier session", "before the launch"])
+@pytest.mark.parametrize("origin", ["an earlier attempt", "an earlier session", "before the launch"])
 @pytest.mark.parametrize("acted", [False, True], ids=["as the leader begins", "after it has acted"])
-async def test_old_reports_reach_every_controller_as_a_new_leader_begins(
-    monkeypatch: pytest.MonkeyPatch, what: str, acted: bool
+async def test_old_reports_during_a_takeover_neither_stop_nor_restart_tasks(
+    monkeypatch: pytest.MonkeyPatch, origin: str, acted: bool
 ) -> None:
-    """The machine itself is not heard then, or was already: what runs there goes on, and starts nowhere else."""
+    """Copies of old reports reach all controllers while the machine itself is cut off, or after the leader has acted.
+
+    The tasks on the machine must go on running and must not start elsewhere.
+    """
     async with cluster(monkeypatch) as whole:
         warm = await whole.submit(uid="req-000001", shape="daemon", rungs=2, cores=3.0)  # two machines, room on both
         await whole.busy(warm)
         uid = await whole.submit(uid="req-000002", shape="daemon", rungs=1, cores=1.0)
-        worker, copies = await _old(whole, uid, what)
+        worker, copies = await _outdated(whole, uid, origin)
         assert copies
         await trio.sleep(6 * REPORT_S)
         assert sum(whole.on().values()) == 3
@@ -167,8 +170,8 @@
 
 
 @pytest.mark.parametrize("cause", ["done", "error", "stopped"])
-def test_an_old_report_of_an_earlier_attempt_ends_no_later_one_on_the_same_machine(cause: str) -> None:
-    """The first thing that a new leader hears; the claim that it found on record is that of a later attempt."""
+def test_old_report_of_an_earlier_attempt_does_not_end_a_later_one(cause: str) -> None:
+    """The old report is the first that a new leader receives; the recorded claim is of a later attempt."""
     earlier, later = 5 << 32, (6 << 32) + 3
     page = {"req-000001": {"a": {"0": [later, "m"]}}, "hosts": {"m": ABOUT}}
     harness = SchedulerHarness({"lf/j/req-000001": (accepted(job(rungs=1)), 4), "lf/p/0": (page, 5)})
@@ -181,10 +184,10 @@
 
 @pytest.mark.parametrize("cancelled", [False, True], ids=["goes on", "cancelled"])
 @pytest.mark.parametrize("when", ["before the new epoch", "after it", "executed, answer held"])
-async def test_commands_of_an_earlier_leader_that_were_held_up(
+async def test_delayed_orders_of_an_earlier_leader_start_no_second_attempt(
     monkeypatch: pytest.MonkeyPatch, when: str, cancelled: bool
 ) -> None:
-    """A launch is on its way while its leader ends; the machine, which hung, then goes on with it."""
+    """A launch is delayed on a machine that hangs while the leader changes; the machine then continues with it."""
     async with cluster(monkeypatch) as whole:
         checker = ConsistencyChecker(whole)
         warm = await whole.submit(uid="req-000001", shape="daemon", rungs=1, loaners=False)
@@ -195,12 +198,12 @@
         await checker.ask(0, "POST", uid)
         await trio.sleep(0.3)
         assert (uid in str(worker.held)) == worker.hold or whole.starts(uid)
-        whole.net.cut.add(worker.address)  # it hangs
+        whole.net.cut.add(worker.address)  # the machine hangs
         whole.crash(whole.leader())
-        left = next(iter(whole.controllers))
+        survivor = next(iter(whole.controllers))
         if cancelled:
             await trio.sleep(1)
-            assert (await whole.call(left, "POST", f"/api/jobs/{uid}/cancel"))[1]["phase"] == "cancelled"
+            assert (await whole.call(survivor, "POST", f"/api/jobs/{uid}/cancel"))[1]["phase"] == "cancelled"
         await trio.sleep(3 * REPORT_S)
         held = list(worker.held)
         if when == "before the new epoch":
@@ -212,8 +215,8 @@
             assert not any(worker.late(body) for body in held)
         await trio.sleep(30)
         if cancelled:
-            assert not checker.on(uid), "ran_cancelled"
-            assert await whole.phase(left, uid) == "cancelled"
+            assert not checker.on(uid), "ran_cancelled: a cancelled job must not run"
+            assert await whole.phase(survivor, uid) == "cancelled"
         else:
             assert len(checker.on(uid)) == 1 and len(whole.starts(uid)) == 1
-        assert whole.on()[f"{warm}/0"] == 1 and len(whole.starts(warm)) == 1, "the machine was not given up for it"
+        assert whole.on()[f"{warm}/0"] == 1 and len(whole.starts(warm)) == 1, "the machine must not be declared lost"
