--- a/ladderfield/cancellation_sync.py
+++ b/ladderfield/cancellation_sync.py
@@ -89,14 +89,14 @@
         self._notices, self._noticed = trio.open_memory_channel[str](NOTICES)
         self.deliver: Callable[[list[str]], object] = lambda uids: None  # to the leader of this very controller
         self._warned = False
-        cancellations.told = self._confirmed
+        cancellations.on_confirmed = self._confirmed
 
     def answer(self, body: bytes) -> tuple[int, bytes]:
         """The answer to a leader's question: what is known here."""
         if len(body) != QUESTION.size:
             return 400, b""
         _, ledger = QUESTION.unpack(body)
-        uids, now = self.cancellations.after(ledger), trio.current_time()
+        uids, now = self.cancellations.newer_than(ledger), trio.current_time()
         if uids is None or not self.view.synced:
             return 503, b""
         epoch, _ = self.leadership.latest()
@@ -122,7 +122,7 @@
         async with trio.open_nursery() as nursery:
             for member, link in self.links.items():
                 nursery.start_soon(one, member, link)
-        uids = set(self.cancellations.after(ledger) or ())
+        uids = set(self.cancellations.newer_than(ledger) or ())
         uids.update(uid for answer in answers.values() if answer is not None for uid in answer.uids)
         return sorted(uids), known_until(term, asked_at, answers.values())
 
--- a/ladderfield/leader/cloud_tasks.py
+++ b/ladderfield/leader/cloud_tasks.py
@@ -9,7 +9,7 @@
 from ladderfield.connectivity.authority import Decision
 from ladderfield.fleet.capacity import Rental
 from ladderfield.fleet.cloud import MAX_LISTED_PER_CALL, Cloud, CloudError, NoCapacityError
-from ladderfield.jobs.model import FULL, TYPES, parse_types, types_record
+from ladderfield.jobs.model import MAX_RECORD_SHARE, TYPES_KEY, parse_types, types_record
 from ladderfield.leader.messages import DeletionAnswered, MachinesListed, Message, RentalAnswered
 from ladderfield.leadership import EPOCH
 from ladderfield.settings import Settings
@@ -58,13 +58,13 @@
         """Keep machine types and prices in the state service, so that jobs are accepted during a cloud outage."""
         while True:
             try:
-                max_bytes = self.settings.cluster.state.value_kb * 1024 * FULL
+                max_bytes = self.settings.cluster.state.value_kb * 1024 * MAX_RECORD_SHARE
                 machine_types = types_record(await self.cloud.types(), max_bytes)
-                if parse_types(machine_types) and machine_types != self.view.get(TYPES):
+                if parse_types(machine_types) and machine_types != self.view.get(TYPES_KEY):
                     await self.client.leader_writes.take()
                     # The guard on the types stops a delayed copy of this write from restoring older ones.
-                    guards = {EPOCH: self.term.stamp, TYPES: self.view.stamp(TYPES)}
-                    await self.client.commit(guards, {TYPES: machine_types}, [], self.report_s)
+                    guards = {EPOCH: self.term.stamp, TYPES_KEY: self.view.stamp(TYPES_KEY)}
+                    await self.client.commit(guards, {TYPES_KEY: machine_types}, [], self.report_s)
                 await trio.sleep(TYPES_REPORT_INTERVALS * self.report_s)
             except (CloudError, StateServiceError) as error:
                 log.info("machine types were not updated: %s", error)
--- a/ladderfield/leader/ledger.py
+++ b/ladderfield/leader/ledger.py
@@ -10,7 +10,7 @@
 import logging
 from typing import Any
 
-from ladderfield.jobs.model import CANCELLED, DONE, FINAL
+from ladderfield.jobs.model import CANCELLED, DONE, FINAL_PREFIX
 from ladderfield.leader.pages import Page, encoded_size
 from ladderfield.leader.scheduler import Scheduler
 from ladderfield.leadership import EPOCH
@@ -127,8 +127,8 @@
     @staticmethod
     def _record_final_state(txn: Transaction, job: Job, value: dict[str, Any]) -> None:
         """Add a job's final state, guarded so that it never replaces one."""
-        txn.guards[FINAL + job.uid] = 0
-        txn.puts[FINAL + job.uid] = value
+        txn.guards[FINAL_PREFIX + job.uid] = 0
+        txn.puts[FINAL_PREFIX + job.uid] = value
         txn.finals[job] = value["phase"]
 
     def _fill_pages(self, txn: Transaction, ends: dict[Job, set[int]]) -> None:
@@ -233,7 +233,7 @@
             page.key_revision = revisions.get(page.key, page.key_revision)
             self.scheduler.pages.write_failed.add(page)
         for job in txn.finals:
-            if revisions.get(FINAL + job.uid):
+            if revisions.get(FINAL_PREFIX + job.uid):
                 # A user cancelled the job just before, or an earlier copy of this transaction recorded it as done.
                 # The view will show which; a wrong guess would cancel, or start, the dependent jobs.
                 self.scheduler.complete_jobs.pop(job, None)
--- a/ladderfield/leader/pages.py
+++ b/ladderfield/leader/pages.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from ladderfield.http import encode
-from ladderfield.jobs.model import FULL, page_key
+from ladderfield.jobs.model import MAX_RECORD_SHARE, page_key
 from ladderfield.queues.work import Claim, Job, ranges
 from ladderfield.workers.machine import Machine
 
@@ -152,7 +152,7 @@
         self.pages: list[Page] = []
         # Pages may be larger if they were written before the state service's limit was lowered. They are read, and
         # rewritten once their live content fits; until then changes go to other pages.
-        self.max_page_bytes = int(value_kb * 1024 * FULL)
+        self.max_page_bytes = int(value_kb * 1024 * MAX_RECORD_SHARE)
         self.dirty: set[Page] = set()
         self.write_failed: set[Page] = set()  # pages with unrecorded content, as their last write failed
 
--- a/ladderfield/leader/records.py
+++ b/ladderfield/leader/records.py
@@ -9,7 +9,17 @@
 import msgspec
 
 from ladderfield.jobs.dependencies import DependencyGraph
-from ladderfield.jobs.model import CANCELLED, DONE, FINAL, JOB, PAGE, TYPES, JobSpec, jobs_on, parse_types
+from ladderfield.jobs.model import (
+    CANCELLED,
+    DONE,
+    FINAL_PREFIX,
+    JOB_PREFIX,
+    PAGE_PREFIX,
+    TYPES_KEY,
+    JobSpec,
+    jobs_in_record,
+    parse_types,
+)
 from ladderfield.leader.pages import HOSTS, Page
 from ladderfield.leader.tables import LeaderTables
 from ladderfield.leader.waiting import WaitingJobs
@@ -40,18 +50,18 @@
 
     def load(self, data: dict[str, tuple[Any, int]], now: float) -> None:
         """Rebuild the tables from all keys of the state service at a takeover."""
-        self.types = parse_types((data.get(TYPES) or (None, 0))[0])
+        self.types = parse_types((data.get(TYPES_KEY) or (None, 0))[0])
         for key, (value, stamp) in data.items():
-            if key.startswith(JOB):
+            if key.startswith(JOB_PREFIX):
                 self._add_jobs(key, value, stamp, now)
         self.jobs = dict(sorted(self.jobs.items(), key=lambda pair: pair[1].accepted_at))
         for key, (value, _) in data.items():
-            if key.startswith(FINAL):
+            if key.startswith(FINAL_PREFIX):
                 self._on_final_record(key, value, now, loading=True)
         claims: dict[TaskId, Claim] = {}
         for key, (value, stamp) in data.items():
-            if key.startswith(PAGE):
-                self._load_page(self.pages.load(int(key.removeprefix(PAGE)), stamp), value, claims)
+            if key.startswith(PAGE_PREFIX):
+                self._load_page(self.pages.load(int(key.removeprefix(PAGE_PREFIX)), stamp), value, claims)
         for claim in claims.values():
             if claim.index not in claim.job.finished:
                 self._inherit(claim, now)
@@ -105,7 +115,7 @@
     def _add_jobs(self, key: str, value: Any, stamp: int, now: float) -> None:
         """Add the jobs of a record; a job may already be known from another record or an earlier read of this one."""
         record = Record(key, stamp)
-        for uid, entry in jobs_on(key, value).items():
+        for uid, entry in jobs_in_record(key, value).items():
             job = self.jobs.get(uid)
             if job is None:
                 spec = msgspec.convert(entry["spec"], JobSpec)
@@ -121,10 +131,10 @@
 
     def _on_final_record(self, key: str, value: Any, now: float, loading: bool = False) -> None:
         """Apply a job's final record."""
-        job = self.jobs.get(key.removeprefix(FINAL))
-        self.reported_cancellations.pop(key.removeprefix(FINAL), None)
+        job = self.jobs.get(key.removeprefix(FINAL_PREFIX))
+        self.reported_cancellations.pop(key.removeprefix(FINAL_PREFIX), None)
         if not loading:
-            self.waiting_jobs.job_ended(key.removeprefix(FINAL), value["phase"], now)
+            self.waiting_jobs.job_ended(key.removeprefix(FINAL_PREFIX), value["phase"], now)
         if job is None:
             return
         job.final_visible = not loading  # while loading, the job's claims have not been read yet
@@ -183,10 +193,10 @@
         changes = [change for change in changes if change.value is not None]
         for change in changes:
             # Jobs come first: a batch from a full read is not in chronological order, and a final record needs its job.
-            if change.key.startswith(JOB):
+            if change.key.startswith(JOB_PREFIX):
                 self._add_jobs(change.key, change.value, change.stamp, now)
         for change in changes:
-            if change.key.startswith(FINAL):
+            if change.key.startswith(FINAL_PREFIX):
                 self._on_final_record(change.key, change.value, now)
-            elif change.key == TYPES:
+            elif change.key == TYPES_KEY:
                 self.types = parse_types(change.value)
--- a/ladderfield/leader/sessions.py
+++ b/ladderfield/leader/sessions.py
@@ -285,9 +285,9 @@
     def _wind_down_s(self, claim: Claim) -> float:
         """Seconds that a stopped attempt gets to save a checkpoint."""
         spec = claim.job.spec
-        if not spec.checkpoint_s or claim.stop_reason == "cancelled":
+        if not spec.checkpoint_interval_s or claim.stop_reason == "cancelled":
             return 0.0
-        return spec.save_s * WIND_DOWN_FACTOR
+        return spec.checkpoint_save_s * WIND_DOWN_FACTOR
 
     def _end_is_recorded(self, task: TaskId) -> bool:
         """Whether the task's end is recorded, so that the worker may forget it."""
--- a/ladderfield/leader/tables.py
+++ b/ladderfield/leader/tables.py
@@ -196,5 +196,5 @@
         for claim in list(machine.claims.values()):
             spec = claim.job.spec
             ran = now - (claim.running_at if claim.running_at is not None else now)
-            if spec.service or spec.checkpoint_s or self.estimates.run_s(claim.job) - ran > remaining_s:
+            if spec.service or spec.checkpoint_interval_s or self.estimates.run_s(claim.job) - ran > remaining_s:
                 self.stop(claim, "spot interruption", now)
--- a/ladderfield/leader/test_limits.py
+++ b/ladderfield/leader/test_limits.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ladderfield.http import encode
-from ladderfield.jobs.model import FULL, parse_types, types_record
+from ladderfield.jobs.model import MAX_RECORD_SHARE, parse_types, types_record
 from ladderfield.leader.ledger import Ledger, Transaction
 from ladderfield.leader.pages import encoded_size
 from ladderfield.settings import StateLimits
@@ -23,7 +23,7 @@
 def harness_with_small_limits(data: dict[str, Any] | None = None) -> SchedulerHarness:
     """A leader that writes within the smaller limits."""
     harness = SchedulerHarness(data)
-    harness.scheduler.pages.max_page_bytes = int(VALUE_LIMIT_BYTES * FULL)
+    harness.scheduler.pages.max_page_bytes = int(VALUE_LIMIT_BYTES * MAX_RECORD_SHARE)
     harness.ledger = Ledger(harness.scheduler, 3, MAX_OPS)
     return harness
 
--- a/ladderfield/leader/waiting.py
+++ b/ladderfield/leader/waiting.py
@@ -34,13 +34,13 @@
     def job_ended(self, uid: str, phase: str, now: float) -> None:
         """Handle a job's recorded end: dependents become ready if it was the last job they needed, or are cancelled."""
         if phase == CANCELLED:
-            for dependent in self.dependencies.all_after(uid):
+            for dependent in self.dependencies.all_dependents(uid):
                 job = self.tables.jobs.get(dependent)
                 if job is not None and job.final_phase is None:
                     self.tables.cancelled_dependents[job] = None
             self._update_urgency(uid)
             return
-        for dependent in self.dependencies.after(uid):
+        for dependent in self.dependencies.dependents(uid):
             job = self.tables.jobs.get(dependent)
             if job is not None and job.final_phase is None and uid in job.pending_dependencies:
                 job.pending_dependencies.discard(uid)
@@ -50,7 +50,7 @@
 
     def _update_urgency(self, uid: str) -> None:
         """Give a job and the jobs it needs the urgency of the jobs that wait for them."""
-        for needed in (uid, *self.dependencies.all_before(uid)):
+        for needed in (uid, *self.dependencies.all_dependencies(uid)):
             job = self.tables.jobs.get(needed)
             if job is not None and needed in self.dependencies:
                 rank, job.due = self.dependencies.urgency(needed)
--- a/ladderfield/leadership.py
+++ b/ladderfield/leadership.py
@@ -16,7 +16,7 @@
 from ladderfield.connectivity.authority import Authority, Decision
 from ladderfield.connectivity.reachability import ReachStatus
 from ladderfield.http import encode
-from ladderfield.jobs.model import FULL
+from ladderfield.jobs.model import MAX_RECORD_SHARE
 from ladderfield.settings import Settings
 from ladderfield.state import StateClient, StateServiceError
 from ladderfield.term import Term, grace_of, grace_s
@@ -105,7 +105,7 @@
             earlier[record["member"]] = round(now + grace, 3)
         earlier.pop(self.settings.member, None)
         # A hint must not keep the epoch from being raised: what makes the record too large is left out.
-        most = self.settings.cluster.state.value_kb * 1024 * FULL - RECORD
+        most = self.settings.cluster.state.value_kb * 1024 * MAX_RECORD_SHARE - RECORD
         while len(encode(earlier)) + len(encode(self.settings.member)) > most:
             del earlier[min(earlier, key=lambda member: (earlier[member], member))]
         return earlier
--- a/ladderfield/server.py
+++ b/ladderfield/server.py
@@ -21,8 +21,8 @@
 from ladderfield.jobs.api import JobsApi
 from ladderfield.jobs.cancellations import Cancellations
 from ladderfield.jobs.dependencies import DependencyGraph
-from ladderfield.jobs.model import FULL, TYPES, parse_types, types_record
-from ladderfield.jobs.responses import SUBMIT_S
+from ladderfield.jobs.model import MAX_RECORD_SHARE, TYPES_KEY, parse_types, types_record
+from ladderfield.jobs.responses import SUBMIT_TIMEOUT_S
 from ladderfield.leader.actor import Leader
 from ladderfield.leader.messages import CancellationsLearned, ControllersChecked, NoOtherLeader
 from ladderfield.leader.resignation import Resignation
@@ -75,7 +75,7 @@
         self.links = {peer.member: PeerLink(peer, at_once) for peer in settings.peers}
         self.dependencies = DependencyGraph(self.view.get)
         self.cancellations = Cancellations(most_entries(settings))
-        self.view.followers += [self.dependencies.take, self.cancellations.take]
+        self.view.followers += [self.dependencies.apply_change, self.cancellations.apply_change]
         self.rollout = Rollout(settings, self.client, self.view)
         self.jobs_api = JobsApi(
             settings, self.client, self.view, self.dependencies, self.rollout, self.cancellations,
@@ -211,16 +211,18 @@
         """Put the machine types on record if nobody has yet: without them no job can be judged."""
         pause = self.settings.cluster.workers.report_s
         while True:
-            if self.view.synced and self.view.get(TYPES) is None:
+            if self.view.synced and self.view.get(TYPES_KEY) is None:
                 try:
                     await self.cloud.idle_budget.take()
-                    kinds = types_record(await self.cloud.types(), self.settings.cluster.state.value_kb * 1024 * FULL)
+                    kinds = types_record(
+                        await self.cloud.types(), self.settings.cluster.state.value_kb * 1024 * MAX_RECORD_SHARE
+                    )
                     if parse_types(kinds):
                         await self.client.writes.take()
-                        await self.client.commit({TYPES: 0}, {TYPES: kinds}, [], pause)
+                        await self.client.commit({TYPES_KEY: 0}, {TYPES_KEY: kinds}, [], pause)
                 except (CloudError, StateServiceError) as error:
                     log.info("machine types: %s", error)
-            await trio.sleep(pause / 4 if self.view.get(TYPES) is None else pause)
+            await trio.sleep(pause / 4 if self.view.get(TYPES_KEY) is None else pause)
 
     async def run(self) -> None:
         """Everything but the listeners."""
@@ -266,8 +268,8 @@
     """Run the controller."""
     controller = Controller(settings, zone_options, reach_options)
     most = settings.cluster.quota.max_connections
-    front = Server(controller.handle, int(most * USERS_SHARE), SUBMIT_S, IDLE_S)
-    back = BackServer(controller.handle_back, back_most(most), IDLE_S, SUBMIT_S)
+    front = Server(controller.handle, int(most * USERS_SHARE), SUBMIT_TIMEOUT_S, IDLE_S)
+    back = BackServer(controller.handle_back, back_most(most), IDLE_S, SUBMIT_TIMEOUT_S)
     log.info("controller %s starts in %s", settings.member, settings.location or "no zone")
     async with trio.open_nursery() as nursery:
         nursery.start_soon(_listen, settings.bind, front, most)
--- a/ladderfield/test_wire_format.py
+++ b/ladderfield/test_wire_format.py
@@ -151,7 +151,7 @@
     await ask("cancel_done", "POST", "/api/jobs/req-000001/cancel")
     await ask("cancel_unknown", "POST", "/api/jobs/req-000098/cancel")
     await ask("cancel_method", "GET", "/api/jobs/req-000002/cancel")
-    api.requests = api.most_requests
+    api.requests = api.max_requests
     await ask("overload", "GET", "/api/jobs/req-000001")
     return samples
 
@@ -271,8 +271,8 @@
     await sync.ask(Term(6, 3, 1, 0.0, 2.0, 17.0, 0.0), 1.0)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(sync.run_notices, 1.0)
-        cancellations.confirmed("req-000001", 18)
-        cancellations.confirmed("req-000002", 19)
+        cancellations.add_confirmed("req-000001", 18)
+        cancellations.add_confirmed("req-000002", 19)
         await trio.sleep(1.5)
         nursery.cancel_scope.cancel()
     status, body = sync.answer(samples[f"asked_{CANCELLATION_QUERY}"])
--- a/ladderfield/testing/leader.py
+++ b/ladderfield/testing/leader.py
@@ -8,7 +8,7 @@
 
 from ladderfield.fleet.cloud import Cloud
 from ladderfield.jobs.dependencies import DependencyGraph
-from ladderfield.jobs.model import TYPES as TYPES_KEY
+from ladderfield.jobs.model import TYPES_KEY
 from ladderfield.leader.actor import Leader
 from ladderfield.leader.ledger import Ledger
 from ladderfield.leader.scheduler import Scheduler
@@ -35,7 +35,7 @@
         self.scheduler = Scheduler(settings(), EPOCH_NOW, 0.0, 1000.0, 36.0, self.dependencies)
         self.scheduler.push = lambda machine: self.pushed.append(machine.host)
         for key, (value, stamp) in self.on_record.items():
-            self.dependencies.take(Change(key, value, stamp))
+            self.dependencies.apply_change(Change(key, value, stamp))
         self.scheduler.load(self.on_record, 0.0)
         self.ledger = Ledger(self.scheduler, 3, 16)
         self.stamp = 10
@@ -48,7 +48,7 @@
     def appear(self, key: str, value: Any, stamp: int, now: float = 0.0) -> None:
         """A key changes in the state service."""
         self.on_record[key] = (value, stamp)
-        self.dependencies.take(Change(key, value, stamp))
+        self.dependencies.apply_change(Change(key, value, stamp))
         self.scheduler.take_changes([Change(key, value, stamp)], now)
 
     def tell(self, uid: str = "req-000001", phase: str = "done") -> None:
--- a/ladderfield/zones/record.py
+++ b/ladderfield/zones/record.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from ladderfield.http import encode
-from ladderfield.jobs.model import FULL
+from ladderfield.jobs.model import MAX_RECORD_SHARE
 from ladderfield.zones.health import MAX_FAILURES, ZoneHealth, ZoneState
 from ladderfield.zones.waves import ZoneReturn
 
@@ -70,7 +70,7 @@
         self.key = ZONES_KEY
         self.revision = 0
         self.dirty = False
-        self.max_bytes = value_kb * 1024 * FULL
+        self.max_bytes = value_kb * 1024 * MAX_RECORD_SHARE
         self.wall_offset = wall_offset
         self._value: dict[str, Any] = {}
 
