--- a/ladderfield/jobs/__init__.py
+++ b/ladderfield/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs as users see them: submission, polls, cancellation, and what is kept of a job in the state service."""
+"""The jobs API (submission, polling, cancellation) and the job records in the state service."""
--- a/ladderfield/jobs/accept.py
+++ b/ladderfield/jobs/accept.py
@@ -1,11 +1,13 @@
-"""Putting accepted jobs on record: jobs that arrive while a write is under way share the next one.
-
-The state service counts changes, not bytes, and a controller's jobs API has only a small share of them. So one record
-takes all that has gathered (group commit): there is no timer, and a job that finds nothing under way is written at
-once. The record is named after its first job, whose retry elsewhere therefore finds it; any other job of it may stand
-on two records after a retry at another controller. That is harmless: both say the same, the job counts once, and a
-record is deleted only when all of its jobs are over. A late copy is harmless too: each job's final state guards the
-write.
+"""Writes accepted jobs to the state service; jobs that arrive during a write share the next one (group commit).
+
+The state service limits the number of changes, not bytes, and a controller's jobs API has only a small share of them.
+So one record holds all jobs that have queued up. There is no batching timer: a job that arrives while no write is in
+progress is written at once.
+
+The record is named after its first job, so a retry of that job at another controller finds it. Any other job of the
+record may end up in two records after a retry at another controller. That is harmless: both hold the same
+description, the job counts once, and a record is deleted only when all of its jobs have ended. A delayed duplicate of
+the write is harmless too, because the write is guarded by the absence of each job's final state.
 """
 
 from __future__ import annotations
@@ -18,162 +20,173 @@
 
 from ladderfield.http import encode
 from ladderfield.jobs.dependencies import DependencyGraph
-from ladderfield.jobs.model import FINAL, FULL, JOB
+from ladderfield.jobs.model import FINAL_PREFIX, JOB_PREFIX, MAX_RECORD_SHARE
 from ladderfield.settings import Settings
 from ladderfield.state import StateClient, StateServiceError, WriteRefusedError
 from ladderfield.view import View
 
 log = logging.getLogger(__name__)
 
-TXN_BYTES = 48 * 1024  # of the 64 KiB that a transaction may hold; the rest is for its guards
-FRAME = 64  # bytes of a record beside its jobs
-GUARDS = 4  # the protocol: so many conditions for each change that a transaction may hold
-ANSWER = 0.25  # of the time a user waits: how long one write may take
-PATIENCE = 0.2  # of it: who would wait longer for a turn is told at once to come back
-PAUSE = 0.02  # of it: before the same is tried again
-HOPEFUL = 0.2  # of it: the state service answered within this, so asking again may help
+MAX_TXN_VALUE_BYTES = 48 * 1024  # of the 64 KiB limit of a transaction; the rest is for its guards
+RECORD_OVERHEAD_BYTES = 64  # size of a record without its jobs
+GUARDS_PER_CHANGE = 4  # protocol: guards allowed in a transaction, per change allowed in it
+WRITE_TIMEOUT_SHARE = 0.25  # of the client timeout: timeout of one write
+MAX_QUEUE_DELAY_SHARE = 0.2  # of the client timeout: with a longer queue delay the request is rejected at once
+RETRY_DELAY_SHARE = 0.02  # of the client timeout: delay before a write is retried
+RECENT_ANSWER_SHARE = 0.2  # of the client timeout: a retry is worthwhile after an answer this recent
 
 
 def record_size(uid: str, record: dict[str, Any]) -> int:
-    """The bytes that a job takes on a record."""
+    """Bytes that a job takes up in a record."""
     return len(encode(record)) + len(uid) + 4
 
 
-class Wanted:
-    """A job that is to be put on record, and what became of it."""
+class PendingSubmission:
+    """A job to be written, and the outcome of the write."""
 
-    __slots__ = ("done", "known_at", "record", "size", "uid", "writing", "written_at")
+    __slots__ = ("answered", "known_revision", "record", "size", "uid", "write_started", "written_revision")
 
     def __init__(self, uid: str, record: dict[str, Any]) -> None:
         self.uid, self.record = uid, record
         self.size = record_size(uid, record)
-        self.done = trio.Event()
-        # None: not on record by us; 0: it is; else the revision by which something on record speaks of it already.
-        self.known_at: int | None = None
-        self.written_at = 0  # the revision by which it is on record, if that is our doing
-        self.writing = False  # a write with it has been begun, so that others may know more of it than we do
+        self.answered = trio.Event()
+        # None: not written, or not known to be; 0: written by us; otherwise a revision at which it was already known by
+        # its final state or another job record.
+        self.known_revision: int | None = None
+        self.written_revision = 0  # revision of our write, if it was written by us
+        self.write_started = False  # from then on other controllers may see the job before our answer arrives
 
 
 class Acceptor:
-    """The one writer of a controller's submissions."""
+    """Writes the submissions of a controller, one batch at a time."""
 
     def __init__(
-        self, settings: Settings, client: StateClient, view: View, dependencies: DependencyGraph, wait_s: float
+        self,
+        settings: Settings,
+        client: StateClient,
+        view: View,
+        dependencies: DependencyGraph,
+        client_timeout_s: float,
     ) -> None:
-        self.client, self.view, self.dependencies, self.wait_s = client, view, dependencies, wait_s
+        self.client, self.view, self.dependencies, self.client_timeout_s = client, view, dependencies, client_timeout_s
         state = settings.cluster.state
-        self.most_bytes = min(state.value_kb * 1024, TXN_BYTES) * FULL - FRAME
-        self.most_jobs = GUARDS * state.txn_ops - 1
-        self._waiting: OrderedDict[str, Wanted] = OrderedDict()
-        self._some = trio.Event()
+        self.max_bytes = min(state.value_kb * 1024, MAX_TXN_VALUE_BYTES) * MAX_RECORD_SHARE - RECORD_OVERHEAD_BYTES
+        self.max_jobs = GUARDS_PER_CHANGE * state.txn_ops - 1
+        self._pending: OrderedDict[str, PendingSubmission] = OrderedDict()
+        self._not_empty = trio.Event()
 
-    async def accept(self, uid: str, record: dict[str, Any], until: float) -> Wanted:
-        """Have a job recorded; who asked for the same job meanwhile shares the answer.
+    async def accept(self, uid: str, record: dict[str, Any], deadline: float) -> PendingSubmission:
+        """Queues a job for writing and waits for the outcome; concurrent requests for the same job share it.
 
-        ``done`` may not be set when the time is over: then it is not known whether the job is on record, and the user
-        has to ask again.
+        ``answered`` may still be unset at the deadline. Then it is unknown whether the job was written, and the user
+        has to retry.
         """
-        wanted = self._waiting.get(uid)
-        if wanted is None:
-            wanted = Wanted(uid, record)
-            if self._turn_in() > self.wait_s * PATIENCE:
-                wanted.done.set()
-                return wanted
-            self._waiting[uid] = wanted
-            self._some.set()
-        with trio.move_on_at(until):
-            await wanted.done.wait()
-        if not wanted.done.is_set() and self._waiting.get(uid) is wanted:
-            del self._waiting[uid]
-        return wanted
-
-    def writing(self, uid: str) -> bool:
-        """Whether a write with this job has been begun.
-
-        It may be on record then, and what follows from that too, however long its answer takes. Who asks now can't be
-        told by that answer alone how the job is.
+        submission = self._pending.get(uid)
+        if submission is None:
+            submission = PendingSubmission(uid, record)
+            if self._queue_delay_s() > self.client_timeout_s * MAX_QUEUE_DELAY_SHARE:
+                submission.answered.set()
+                return submission
+            self._pending[uid] = submission
+            self._not_empty.set()
+        with trio.move_on_at(deadline):
+            await submission.answered.wait()
+        if not submission.answered.is_set() and self._pending.get(uid) is submission:
+            del self._pending[uid]
+        return submission
+
+    def write_started(self, uid: str) -> bool:
+        """Whether a write with this job has been started.
+
+        The job may then be in the state service before the write's answer arrives, and other controllers may already
+        have acted on it. So that answer alone does not tell a request that arrives now the state of the job.
         """
-        wanted = self._waiting.get(uid)
-        return wanted is not None and wanted.writing
+        submission = self._pending.get(uid)
+        return submission is not None and submission.write_started
 
-    def _turn_in(self) -> float:
-        """How long a job that comes now would wait until it is written."""
-        ahead = sum(wanted.size for wanted in self._waiting.values()) / self.most_bytes
+    def _queue_delay_s(self) -> float:
+        """Estimated wait until a job that is queued now is written."""
+        ahead = sum(submission.size for submission in self._pending.values()) / self.max_bytes
         return self.client.writes.delay(1 + ahead)
 
     async def run(self) -> None:
-        """Write for ever."""
+        """Writes queued jobs until cancelled."""
         while True:
-            await self._some.wait()
+            await self._not_empty.wait()
             await self.client.writes.take()
-            await self.client.calls.take(urgent=True)  # counted; the writes were waited for
-            batch = self._next()
+            await self.client.calls.take(urgent=True)  # counted without a wait; the write budget was waited for
+            batch = self._next_batch()
             if batch:
                 await self._write(batch)
-            if not self._waiting:
-                self._some = trio.Event()
+            if not self._pending:
+                self._not_empty = trio.Event()
 
-    def _next(self) -> list[Wanted]:
-        """The eldest that fit one record."""
-        batch: list[Wanted] = []
+    def _next_batch(self) -> list[PendingSubmission]:
+        """The oldest queued jobs that fit into one record."""
+        batch: list[PendingSubmission] = []
         size = 0.0
-        for wanted in self._waiting.values():
-            if len(batch) >= self.most_jobs or (batch and size + wanted.size > self.most_bytes):
+        for submission in self._pending.values():
+            if len(batch) >= self.max_jobs or (batch and size + submission.size > self.max_bytes):
                 break
-            batch.append(wanted)
-            size += wanted.size
+            batch.append(submission)
+            size += submission.size
         return batch
 
-    async def _write(self, batch: list[Wanted]) -> None:
-        key = JOB + batch[0].uid
-        for wanted in batch:
-            wanted.writing = True
-        # A final state guards each job: a copy of this that is carried out late brings nothing back that is over.
-        guards = {key: 0} | {FINAL + wanted.uid: 0 for wanted in batch}
-        value = {"jobs": {wanted.uid: wanted.record for wanted in batch}}
+    async def _write(self, batch: list[PendingSubmission]) -> None:
+        key = JOB_PREFIX + batch[0].uid
+        for submission in batch:
+            submission.write_started = True
+        # The guards on the final states keep a delayed duplicate of the write from reviving an ended job.
+        guards = {key: 0} | {FINAL_PREFIX + submission.uid: 0 for submission in batch}
+        value = {"jobs": {submission.uid: submission.record for submission in batch}}
         try:
-            outcome = await self.client.commit(guards, {key: value}, [], self.wait_s * ANSWER)
+            outcome = await self.client.commit(guards, {key: value}, [], self.client_timeout_s * WRITE_TIMEOUT_SHARE)
         except WriteRefusedError as error:
-            self._refused(batch, error)
+            self._write_refused(batch, error)
         except StateServiceError as error:
-            await self._unanswered(batch, error)
+            await self._write_unconfirmed(batch, error)
         else:
             if outcome.failed is None:
-                for wanted in batch:
-                    wanted.written_at = outcome.ledger
-                    self._answer(wanted, 0)
+                for submission in batch:
+                    submission.written_revision = outcome.ledger
+                    self._resolve(submission, 0)
             else:
-                await self._known_in_part(batch, key, outcome.ledger, outcome.failed)
+                await self._guards_failed(batch, key, outcome.ledger, outcome.failed)
 
-    def _refused(self, batch: list[Wanted], error: WriteRefusedError) -> None:
-        """It would be refused again. Less of it may not be; a job that stands alone is the caller's to think over."""
-        log.error("%d jobs can't be written: %s", len(batch), error)
-        self.most_jobs = max(1, len(batch) // 2)
+    def _write_refused(self, batch: list[PendingSubmission], error: WriteRefusedError) -> None:
+        """Halves the batch size, as the same write would be refused again. A single refused job counts as unwritten."""
+        log.error("state service refused the write of %d jobs: %s", len(batch), error)
+        self.max_jobs = max(1, len(batch) // 2)
         if len(batch) == 1:
-            self._answer(batch[0], None)
+            self._resolve(batch[0], None)
 
-    async def _unanswered(self, batch: list[Wanted], error: StateServiceError) -> None:
-        """Try again soon if the state service answered lately; else nobody can be served now, and all are told so."""
-        log.debug("%d jobs not written yet: %s", len(batch), error)
-        if trio.current_time() - self.client.answered_at < self.wait_s * HOPEFUL:
-            await trio.sleep(self.wait_s * PAUSE)
+    async def _write_unconfirmed(self, batch: list[PendingSubmission], error: StateServiceError) -> None:
+        """Retries soon if the state service answered recently; otherwise fails all queued jobs."""
+        log.debug("write of %d jobs not confirmed: %s", len(batch), error)
+        if trio.current_time() - self.client.answered_at < self.client_timeout_s * RECENT_ANSWER_SHARE:
+            await trio.sleep(self.client_timeout_s * RETRY_DELAY_SHARE)
             return
-        for wanted in list(self._waiting.values()):
-            self._answer(wanted, None)
+        for submission in list(self._pending.values()):
+            self._resolve(submission, None)
 
-    async def _known_in_part(self, batch: list[Wanted], key: str, ledger: int, failed: list[str]) -> None:
-        """Answer for those that are known; the others are written anew.
+    async def _guards_failed(self, batch: list[PendingSubmission], key: str, revision: int, failed: list[str]) -> None:
+        """Resolves the jobs that are known already; the others stay queued for another write.
 
-        A job may be decided already, or on record by an earlier copy of this very write or by another controller.
+        A job may have ended, or may have been written before by an earlier attempt of this write or by another
+        controller.
         """
-        with trio.move_on_after(self.wait_s * ANSWER):
-            await self.view.reach(ledger)
-        for wanted in batch:
-            if FINAL + wanted.uid in failed or key == JOB + wanted.uid or wanted.uid in self.dependencies:
-                self._answer(wanted, ledger)
-
-    def _answer(self, wanted: Wanted, known_at: int | None) -> None:
-        wanted.known_at = known_at
-        wanted.done.set()
-        if self._waiting.get(wanted.uid) is wanted:
-            del self._waiting[wanted.uid]
+        with trio.move_on_after(self.client_timeout_s * WRITE_TIMEOUT_SHARE):
+            await self.view.reach(revision)
+        for submission in batch:
+            if (
+                FINAL_PREFIX + submission.uid in failed
+                or key == JOB_PREFIX + submission.uid
+                or submission.uid in self.dependencies
+            ):
+                self._resolve(submission, revision)
+
+    def _resolve(self, submission: PendingSubmission, known_revision: int | None) -> None:
+        submission.known_revision = known_revision
+        submission.answered.set()
+        if self._pending.get(submission.uid) is submission:
+            del self._pending[submission.uid]
--- a/ladderfield/jobs/cancel.py
+++ b/ladderfield/jobs/cancel.py
@@ -1,4 +1,4 @@
-"""Cancellations by users: a job's final record, decided once."""
+"""Cancellation by users: writes a job's final record, which is decided once."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 from ladderfield.jobs.cancellations import Cancellations
 from ladderfield.jobs.dependencies import DependencyGraph
 from ladderfield.jobs.lookup import JobLookup
-from ladderfield.jobs.model import CANCELLED, FINAL, valid_uid
-from ladderfield.jobs.responses import SUBMIT_S, USABLE_SHARE, busy, no_such_job
+from ladderfield.jobs.model import CANCELLED, FINAL_PREFIX, valid_uid
+from ladderfield.jobs.responses import SUBMIT_TIMEOUT_S, USABLE_SHARE, no_such_job, unavailable
 from ladderfield.state import Outcome, StateClient, StateServiceError
 from ladderfield.view import View
 
 log = logging.getLogger(__name__)
 
-TURN_PATIENCE_S = SUBMIT_S / 3  # who would wait longer for a write is told at once to come back
-WRITE_TIMEOUT_S = SUBMIT_S * USABLE_SHARE / 3
-RETRY_PAUSE_S = SUBMIT_S / 50
-ANSWERED_LATELY_S = SUBMIT_S / 5  # the state service answered within this, so asking again may help
+MAX_QUEUE_DELAY_S = SUBMIT_TIMEOUT_S / 3  # with a longer wait for a write the request is rejected at once
+WRITE_TIMEOUT_S = SUBMIT_TIMEOUT_S * USABLE_SHARE / 3
+RETRY_DELAY_S = SUBMIT_TIMEOUT_S / 50
+RECENT_ANSWER_S = SUBMIT_TIMEOUT_S / 5  # a retry is worthwhile after an answer this recent
 
 
 class CancellationHandler:
-    """Puts cancellations on record."""
+    """Handles cancellation requests."""
 
     def __init__(
         self,
@@ -39,51 +39,52 @@
         self.lookup, self.cancellations = lookup, cancellations
 
     async def cancel(self, uid: str) -> Reply:
-        """The answer to a cancellation, once the job's end is on record, whichever it is."""
+        """The reply to a cancellation, sent once the job's final record exists, whether done or cancelled."""
         if not valid_uid(uid):
             return no_such_job()
-        until = trio.current_time() + SUBMIT_S * USABLE_SHARE
-        while trio.current_time() < until:
+        deadline = trio.current_time() + SUBMIT_TIMEOUT_S * USABLE_SHARE
+        while trio.current_time() < deadline:
             if (final := self.lookup.final(uid)) is not None:
                 return final
             if uid not in self.dependencies:
-                if (unknown := await self._unknown(uid, until)) is not None:
-                    return unknown
+                if (not_found := await self._unknown_job_reply(uid, deadline)) is not None:
+                    return not_found
                 continue
-            if not await self.client.writes.take(patience=TURN_PATIENCE_S):
-                return busy(1)
+            if not await self.client.writes.take(patience=MAX_QUEUE_DELAY_S):
+                return unavailable(1)
             outcome = await self._write(uid)
             if outcome is None:
-                if not self._answered_lately():
-                    return busy(1)
-                await trio.sleep(RETRY_PAUSE_S)
+                if not self._answered_recently():
+                    return unavailable(1)
+                await trio.sleep(RETRY_DELAY_S)
                 continue
             if outcome.failed is None:
-                log.info("job %s: cancelled by its user", uid)
-                self.cancellations.confirmed(uid, outcome.ledger)
+                log.info("job %s: cancelled by user", uid)
+                self.cancellations.add_confirmed(uid, outcome.ledger)
                 return Reply(200, {"uid": uid, "phase": CANCELLED})
-            with trio.move_on_at(until):
+            with trio.move_on_at(deadline):
                 await self.view.reach(outcome.ledger)
-        return busy(1)
+        return unavailable(1)
 
-    async def _unknown(self, uid: str, until: float) -> Reply | None:
-        """The answer for a job that the view lacks; None if it was accepted meanwhile."""
-        if not await self.view.fresh(until - trio.current_time()):
-            return busy(1)
+    async def _unknown_job_reply(self, uid: str, deadline: float) -> Reply | None:
+        """The reply for a job that is not in the view; None if it turns out to have been accepted."""
+        if not await self.view.fresh(deadline - trio.current_time()):
+            return unavailable(1)
         return no_such_job() if self.lookup.state(uid) is None else None
 
     async def _write(self, uid: str) -> Outcome | None:
-        """Write the final record; None without an answer.
+        """Writes the final record; None if the call failed.
 
-        Decided once: neither this nor a late copy of it undoes an end. Once accepted the job is known for good.
+        The guard lets the final record be written only once, so neither this write nor a delayed duplicate of it can
+        overwrite an end. No guard on the job record is needed, as an accepted job stays known.
         """
         record = {"phase": CANCELLED, "at": round(time.time(), 3)}
         try:
-            return await self.client.commit({FINAL + uid: 0}, {FINAL + uid: record}, [], WRITE_TIMEOUT_S)
+            return await self.client.commit({FINAL_PREFIX + uid: 0}, {FINAL_PREFIX + uid: record}, [], WRITE_TIMEOUT_S)
         except StateServiceError as error:
-            log.debug("job %s: not cancelled yet: %s", uid, error)
+            log.debug("job %s: write of the cancellation not confirmed: %s", uid, error)
             return None
 
-    def _answered_lately(self) -> bool:
-        """Whether the state service answered lately: asking it again within this request may help."""
-        return trio.current_time() - self.client.answered_at < ANSWERED_LATELY_S
+    def _answered_recently(self) -> bool:
+        """Whether the state service answered recently, so that a retry within this request may succeed."""
+        return trio.current_time() - self.client.answered_at < RECENT_ANSWER_S
--- a/ladderfield/jobs/cancellations.py
+++ b/ladderfield/jobs/cancellations.py
@@ -1,7 +1,7 @@
-"""The cancellations that this controller confirmed or has seen on record, so that it can tell a leader of them.
+"""The cancellations that this controller confirmed or has seen in the state service, to be reported to the leader.
 
-A leader that the state service does not serve can't see what other controllers confirm. Each keeps the revisions of
-what it knows here, from the moment of the confirmation on, before its own view shows it.
+A leader that can't reach the state service does not see what other controllers confirm. Each controller keeps the
+revisions of the cancellations it knows here, from the confirmation on, before its own view shows them.
 """
 
 from __future__ import annotations
@@ -10,39 +10,39 @@
 
 import trio
 
-from ladderfield.jobs.model import CANCELLED, FINAL
+from ladderfield.jobs.model import CANCELLED, FINAL_PREFIX
 from ladderfield.view import Change
 
 
 class Cancellations:
-    """Jobs that are cancelled on record, and by which revision."""
-
-    def __init__(self, kept: int) -> None:
-        self.kept = kept  # the latest; who needs older ones is told nothing
-        self.began_at = trio.current_time()  # what this process confirmed since then is here
-        self.told: Callable[[str], None] = lambda uid: None  # called at once with what is confirmed here
-        self._stamps: dict[str, int] = {}
-        self._floor = 0  # no longer complete up to this revision
-
-    def take(self, change: Change) -> None:
-        """A record changed."""
-        if change.key.startswith(FINAL) and change.value is not None and change.value["phase"] == CANCELLED:
-            self._add(change.key.removeprefix(FINAL), change.stamp)
-
-    def confirmed(self, uid: str, stamp: int) -> None:
-        """Our own write is on record: its user is about to hear of it."""
-        self._add(uid, stamp)
-        self.told(uid)
-
-    def _add(self, uid: str, stamp: int) -> None:
-        self._stamps[uid] = stamp
-        if len(self._stamps) > 2 * self.kept:
-            latest = sorted(self._stamps.items(), key=lambda pair: pair[1])
-            self._floor = latest[-self.kept - 1][1]
-            self._stamps = dict(latest[-self.kept :])
-
-    def after(self, ledger: int) -> list[str] | None:
-        """Those that a view which has reached this revision may lack; None if that is no longer known."""
-        if ledger < self._floor:
+    """Cancelled jobs, and the revisions of their final records."""
+
+    def __init__(self, capacity: int) -> None:
+        self.capacity = capacity  # number of the latest cancellations kept; queries that need older ones get None
+        self.began_at = trio.current_time()  # cancellations confirmed by this process since then are kept here
+        self.on_confirmed: Callable[[str], None] = lambda uid: None  # called with the job id on each confirmation
+        self._revisions: dict[str, int] = {}
+        self._dropped_up_to = 0  # cancellations up to this revision may have been dropped
+
+    def apply_change(self, change: Change) -> None:
+        """Handles a changed record."""
+        if change.key.startswith(FINAL_PREFIX) and change.value is not None and change.value["phase"] == CANCELLED:
+            self._add(change.key.removeprefix(FINAL_PREFIX), change.stamp)
+
+    def add_confirmed(self, uid: str, revision: int) -> None:
+        """Adds a cancellation that this controller wrote and is about to confirm to its user."""
+        self._add(uid, revision)
+        self.on_confirmed(uid)
+
+    def _add(self, uid: str, revision: int) -> None:
+        self._revisions[uid] = revision
+        if len(self._revisions) > 2 * self.capacity:
+            latest = sorted(self._revisions.items(), key=lambda pair: pair[1])
+            self._dropped_up_to = latest[-self.capacity - 1][1]
+            self._revisions = dict(latest[-self.capacity :])
+
+    def newer_than(self, revision: int) -> list[str] | None:
+        """Jobs cancelled after this revision; None if some of these cancellations may have been dropped."""
+        if revision < self._dropped_up_to:
             return None
-        return [uid for uid, stamp in self._stamps.items() if stamp > ledger]
+        return [uid for uid, final_revision in self._revisions.items() if final_revision > revision]
--- a/ladderfield/jobs/dependencies.py
+++ b/ladderfield/jobs/dependencies.py
@@ -1,14 +1,14 @@
-"""Jobs that wait for others: which are ready, which are cancelled with another, what rank and due time each inherits.
+"""Dependencies between jobs: readiness, cancellation with another job, inherited rank and due time.
 
-All of it is derived from what is on record, so every controller comes to the same answer with no leader:
+All of it is derived from records, so every controller comes to the same result without a leader:
 
-- a job is ready once the final record of every job that it needs says done. That record is decided once and for good,
-  so a job behind a cancelled one can never have had a task;
-- it is cancelled if it, or any job it needs, directly or through others, has a final record that says so;
-- it is as urgent as the most urgent job that waits for it, as long as that one is not over.
+- A job is ready once the final record of every job that it needs says done. A final record is written once and never
+  changes, so a job that needs a cancelled one can never have started a task.
+- A job is cancelled if its own final record, or that of any job it needs directly or indirectly, says so.
+- A job inherits the urgency of the most urgent job that needs it, as long as that one has not ended.
 
-Nothing here is recursive, and what a question costs does not depend on how long a chain is: the answers are kept up to
-date change by change.
+Nothing here is recursive, and the cost of a query does not depend on the length of a chain: results are updated with
+every change.
 """
 
 from __future__ import annotations
@@ -18,103 +18,103 @@
 from collections.abc import Callable, Iterable, Iterator
 from typing import Any, NamedTuple
 
-from ladderfield.jobs.model import CANCELLED, DONE, FINAL, JOB, PRODUCTION, RANKS, URGENT, jobs_on
+from ladderfield.jobs.model import CANCELLED, DONE, FINAL_PREFIX, JOB_PREFIX, PRODUCTION, RANKS, URGENT, jobs_in_record
 from ladderfield.view import Change
 
 log = logging.getLogger(__name__)
 
-PROPAGATION_STEPS = 8  # for each job on record: more can't be needed, unless records contradict each other
+PROPAGATION_STEPS = 8  # for each job; more are needed only if records contain a cycle
 
 
 class Due(NamedTuple):
-    """A due time: time of day, and how many seconds that is after a submission."""
+    """A due time: the time of day, and its distance in seconds from the submission that set it."""
 
     at: float
     allowed_s: float
 
 
 class JobNode:
-    """A job that is not over, among those it needs and those that need it."""
+    """A recorded job in the dependency graph."""
 
-    __slots__ = ("due", "needs", "own", "rank", "records", "run_s", "service")
+    __slots__ = ("due", "estimate_s", "needs", "own_urgency", "rank", "records", "service")
 
     def __init__(self, spec: dict[str, Any], at: float) -> None:
         self.needs: tuple[str, ...] = tuple(spec.get("waitsOn") or ())
         self.service = spec["shape"] == "daemon"
-        self.run_s = float(spec["expectS"])
+        self.estimate_s = float(spec["expectS"])
         allowed = spec.get("dueS")
         due = None if allowed is None else Due(at + allowed, allowed)
-        self.own: tuple[int, Due | None] = (RANKS[spec["rank"]], due)
-        self.rank, self.due = self.own  # the same with what it inherits
+        self.own_urgency: tuple[int, Due | None] = (RANKS[spec["rank"]], due)
+        self.rank, self.due = self.own_urgency  # own urgency combined with what it inherits
         self.records: set[str] = set()
 
 
 class DependencyGraph:
-    """Follows the records of jobs and of their ends; ``get`` reads a record's present value."""
+    """Follows job records and final records; ``get`` reads the current value of a record."""
 
     def __init__(self, get: Callable[[str], Any]) -> None:
         self._get = get
         self._nodes: dict[str, JobNode] = {}
-        self._jobs_on: dict[str, list[str]] = {}  # record -> jobs
-        self._dependents: dict[str, dict[str, None]] = {}  # job -> those that name it
-        self._cancelled_with: set[str] = set()  # cancelled with another, without a final record of their own yet
-
-    def take(self, change: Change) -> None:
-        """A record changed."""
-        if change.key.startswith(JOB):
-            for uid in self._jobs_on.pop(change.key, ()):
-                self._gone(uid, change.key)
+        self._jobs_by_record: dict[str, list[str]] = {}  # key of a record -> its jobs
+        self._dependents: dict[str, dict[str, None]] = {}  # job -> jobs that need it directly, in order of arrival
+        self._cancelled_indirectly: set[str] = set()  # cancelled with a job they need, still without a final record
+
+    def apply_change(self, change: Change) -> None:
+        """Handles a changed record."""
+        if change.key.startswith(JOB_PREFIX):
+            for uid in self._jobs_by_record.pop(change.key, ()):
+                self._remove_from_record(uid, change.key)
             if change.value is not None:
-                jobs = jobs_on(change.key, change.value)
-                self._jobs_on[change.key] = list(jobs)
+                jobs = jobs_in_record(change.key, change.value)
+                self._jobs_by_record[change.key] = list(jobs)
                 for uid, entry in jobs.items():
-                    self._accepted(uid, entry, change.key)
-        elif change.key.startswith(FINAL) and change.value is not None:
-            uid = change.key.removeprefix(FINAL)
-            self._cancelled_with.discard(uid)
+                    self._add_to_record(uid, entry, change.key)
+        elif change.key.startswith(FINAL_PREFIX) and change.value is not None:
+            uid = change.key.removeprefix(FINAL_PREFIX)
+            self._cancelled_indirectly.discard(uid)
             if change.value["phase"] == CANCELLED:
-                self._cancel_all(self._dependents.get(uid, ()))
+                self._cancel_with_dependents(self._dependents.get(uid, ()))
             node = self._nodes.get(uid)
             if node is not None:
-                self._propagate_urgency(node.needs)  # it needs them no more
+                self._propagate_urgency(node.needs)  # an ended job passes on no urgency
 
-    def _accepted(self, uid: str, entry: dict[str, Any], record: str) -> None:
+    def _add_to_record(self, uid: str, entry: dict[str, Any], record: str) -> None:
         node = self._nodes.get(uid)
         if node is None:
             node = self._nodes[uid] = JobNode(entry["spec"], entry["at"])
             for need in node.needs:
                 self._dependents.setdefault(need, {})[uid] = None
             if any(self.cancelled(need) for need in node.needs):
-                self._cancel_all([uid])
+                self._cancel_with_dependents([uid])
             if node.needs or uid in self._dependents:
                 self._propagate_urgency([uid, *node.needs])
         node.records.add(record)
 
-    def _gone(self, uid: str, record: str) -> None:
-        """A record no longer names it: it is over, unless another record does."""
+    def _remove_from_record(self, uid: str, record: str) -> None:
+        """Removes a job from a record. The job leaves the graph when no other record holds it."""
         node = self._nodes[uid]
         node.records.discard(record)
         if node.records:
             return
         del self._nodes[uid]
-        self._cancelled_with.discard(uid)
+        self._cancelled_indirectly.discard(uid)
         for need in node.needs:
-            after = self._dependents[need]
-            after.pop(uid, None)
-            if not after:
+            dependents = self._dependents[need]
+            dependents.pop(uid, None)
+            if not dependents:
                 del self._dependents[need]
 
-    def _cancel_all(self, uids: Iterable[str]) -> None:
-        """These are cancelled, and with them all that wait for them."""
+    def _cancel_with_dependents(self, uids: Iterable[str]) -> None:
+        """Marks these jobs and all their direct and indirect dependents as cancelled."""
         queue = deque(uids)
         while queue:
             uid = queue.popleft()
-            if uid not in self._cancelled_with and uid in self._nodes and self._phase(uid) is None:
-                self._cancelled_with.add(uid)
+            if uid not in self._cancelled_indirectly and uid in self._nodes and self._phase(uid) is None:
+                self._cancelled_indirectly.add(uid)
                 queue.extend(self._dependents.get(uid, ()))
 
     def _propagate_urgency(self, uids: Iterable[str]) -> None:
-        """Work out anew how urgent these are and, where that changes, those that they need."""
+        """Recomputes the urgency of these jobs and, where it changes, of the jobs that they need."""
         queue = deque(uids)
         for _ in range(PROPAGATION_STEPS * (len(self._nodes) + PROPAGATION_STEPS)):
             if not queue:
@@ -127,73 +127,73 @@
             if (rank, due) != (node.rank, node.due):
                 node.rank, node.due = rank, due
                 queue.extend(node.needs)
-        log.warning("jobs wait for each other in a circle: %s", ", ".join(list(queue)[:4]))
+        log.warning("dependency cycle between jobs: %s", ", ".join(list(queue)[:4]))
 
     def _urgency_from_dependents(self, uid: str, node: JobNode) -> tuple[int, Due | None]:
-        """The rank and due time of a job and of those that wait for it and are not over."""
-        rank, due = node.own
-        for later in self._dependents.get(uid, ()):
-            other = self._nodes.get(later)
-            if other is None or self._phase(later) is not None:
+        """Most urgent rank and due time among a job and its dependents that have not ended."""
+        rank, due = node.own_urgency
+        for dependent in self._dependents.get(uid, ()):
+            other = self._nodes.get(dependent)
+            if other is None or self._phase(dependent) is not None:
                 continue
             rank = min(rank, max(other.rank, RANKS[URGENT])) if rank > RANKS[PRODUCTION] else rank
             if other.due is not None:
-                before = Due(other.due.at - other.run_s, other.due.allowed_s)
-                due = before if due is None else min(due, before)
+                due_for_dependent = Due(other.due.at - other.estimate_s, other.due.allowed_s)
+                due = due_for_dependent if due is None else min(due, due_for_dependent)
         return rank, due
 
     def _phase(self, uid: str) -> str | None:
-        record = self._get(FINAL + uid)
+        record = self._get(FINAL_PREFIX + uid)
         return None if record is None else record["phase"]
 
     def __contains__(self, uid: str) -> bool:
-        """Whether the job stands on a record: it is accepted, and not yet cleared away."""
+        """Whether a record holds the job: it was accepted, and its record is not deleted yet."""
         return uid in self._nodes
 
-    def unknown(self, needs: Iterable[str]) -> str | None:
-        """One of these that was never accepted, as far as is known here."""
+    def first_unknown(self, needs: Iterable[str]) -> str | None:
+        """The first of these jobs that is not known to have been accepted; None if all are."""
         return next((uid for uid in needs if uid not in self._nodes and self._phase(uid) is None), None)
 
-    def service(self, uid: str) -> bool:
-        """Whether it is a service that goes on, which can never be waited for."""
+    def is_active_service(self, uid: str) -> bool:
+        """Whether the job is a service that has not ended; no job can wait for it."""
         node = self._nodes.get(uid)
         return node is not None and node.service and self._phase(uid) is None
 
     def cancelled(self, uid: str) -> bool:
-        """Whether the job is cancelled, or with another that it needs."""
-        return uid in self._cancelled_with or self._phase(uid) == CANCELLED
+        """Whether the job is cancelled, directly or through a job that it needs."""
+        return uid in self._cancelled_indirectly or self._phase(uid) == CANCELLED
 
     def unmet(self, needs: Iterable[str]) -> set[str]:
-        """Those of the needed jobs that are not, on record, done."""
+        """Those of the needed jobs without a final record that says done."""
         return {uid for uid in needs if self._phase(uid) != DONE}
 
     def ready_at(self, needs: Iterable[str]) -> float:
-        """When the last of these ended, as time of day; 0 if nothing tells."""
-        return max((record.get("at", 0.0) for uid in needs if (record := self._get(FINAL + uid))), default=0.0)
+        """Time of day at which the last of these jobs ended; 0 if none has a final record."""
+        return max((record.get("at", 0.0) for uid in needs if (record := self._get(FINAL_PREFIX + uid))), default=0.0)
 
     def urgency(self, uid: str) -> tuple[int, Due | None]:
-        """The rank and the due time that a job has for those that wait for it."""
+        """The job's effective rank and due time, including what it inherits from its dependents."""
         node = self._nodes[uid]
         return node.rank, node.due
 
-    def after(self, uid: str) -> list[str]:
-        """The jobs that name this one."""
+    def dependents(self, uid: str) -> list[str]:
+        """Jobs that need this one directly."""
         return list(self._dependents.get(uid, ()))
 
-    def all_after(self, uid: str) -> Iterator[str]:
-        """All that wait for the job, directly or through others."""
-        return self._walk(uid, self.after)
+    def all_dependents(self, uid: str) -> Iterator[str]:
+        """Jobs that need this one, directly or indirectly."""
+        return self._walk(uid, self.dependents)
 
-    def all_before(self, uid: str) -> Iterator[str]:
-        """All on record that the job waits for, directly or through others."""
-        return self._walk(uid, lambda one: self._nodes[one].needs if one in self._nodes else ())
+    def all_dependencies(self, uid: str) -> Iterator[str]:
+        """Jobs that this one needs, directly or indirectly."""
+        return self._walk(uid, lambda need: self._nodes[need].needs if need in self._nodes else ())
 
     @staticmethod
     def _walk(uid: str, step: Callable[[str], Iterable[str]]) -> Iterator[str]:
         seen, queue = {uid}, deque(step(uid))
         while queue:
-            one = queue.popleft()
-            if one not in seen:
-                seen.add(one)
-                yield one
-                queue.extend(step(one))
+            found = queue.popleft()
+            if found not in seen:
+                seen.add(found)
+                yield found
+                queue.extend(step(found))
--- a/ladderfield/jobs/model.py
+++ b/ladderfield/jobs/model.py
@@ -1,4 +1,4 @@
-"""A job's description and its record; wire names stop here."""
+"""Job descriptions, machine types and job records. Wire names are mapped to internal names here."""
 
 from __future__ import annotations
 
@@ -15,24 +15,26 @@
 
 log = logging.getLogger(__name__)
 
-JOB = "lf/j/"  # accepted jobs, named after the first; deleted once all are over and nothing of them is on any machine
-FINAL = "lf/f/"  # its final state; kept for good
-PAGE = "lf/p/"  # claims and finished ranges, of many jobs in one record
-TYPES = "lf/types"
+# Accepted jobs. A record is named after its first job and deleted once all of its jobs have ended and none of their
+# tasks is on a machine.
+JOB_PREFIX = "lf/j/"
+FINAL_PREFIX = "lf/f/"  # a job's final state; never deleted
+PAGE_PREFIX = "lf/p/"  # claims and finished task ranges; one page holds entries of many jobs
+TYPES_KEY = "lf/types"
 
 PRODUCTION, URGENT, STANDARD, BEST_EFFORT = "production", "urgent", "standard", "best_effort"
 RANKS = {PRODUCTION: 0, URGENT: 1, STANDARD: 2, BEST_EFFORT: 3}
 DONE, CANCELLED = "done", "cancelled"
-FULL = 15 / 16  # of the state service's limit on a value: what a record of ours may hold
-BYTES_PER_TASK = 64  # about what a claim takes on record
+MAX_RECORD_SHARE = 15 / 16  # of the state service's limit on the size of a value
+CLAIM_BYTES = 64  # approximate size of a claim in a record
 
 _UID = re.compile(r"req-[0-9]{1,18}\Z")
-_MOST = 1e9  # no amount in this field is larger; also keeps infinities out
-Amount = Annotated[float, msgspec.Meta(ge=0, le=_MOST)]
+_MAX_AMOUNT = 1e9  # larger than any real amount; also rejects infinities
+Amount = Annotated[float, msgspec.Meta(ge=0, le=_MAX_AMOUNT)]
 
 
 class JobSpec(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What a user submits."""
+    """A job as submitted by a user."""
 
     uid: str
     job_class: str = msgspec.field(name="jobclass")
@@ -49,21 +51,21 @@
     spread: bool
     spot: bool = msgspec.field(name="loaners")
     estimate_s: Amount = msgspec.field(name="expectS")
-    checkpoint_s: Amount = msgspec.field(name="markEveryS")
-    save_s: Amount = msgspec.field(name="markCostS")
+    checkpoint_interval_s: Amount = msgspec.field(name="markEveryS")
+    checkpoint_save_s: Amount = msgspec.field(name="markCostS")
     types: list[str] | None = msgspec.field(name="flavours", default=None)
     zone: str | None = msgspec.field(name="yard", default=None)
     deadline_s: Amount | None = msgspec.field(name="dueS", default=None)
-    needs: list[str] | None = msgspec.field(name="waitsOn", default=None)  # jobs that have to be done first
+    needs: list[str] | None = msgspec.field(name="waitsOn", default=None)  # jobs that have to finish first
 
     @property
     def service(self) -> bool:
-        """Replicas that run until the job is cancelled."""
+        """Whether the tasks are replicas that run until the job is cancelled."""
         return self.shape == "daemon"
 
 
 class MachineType(msgspec.Struct, frozen=True):
-    """What the cloud says of a type."""
+    """A machine type as described by the cloud."""
 
     name: str
     cpus: Amount = msgspec.field(name="cores")
@@ -77,16 +79,16 @@
     zones: list[str] = msgspec.field(name="yards")
 
     def fetch_s(self, gb: float) -> float:
-        """How long an image takes to come; a rate of 0 is a strange answer and must not end anything."""
+        """Time to fetch an image of this size. A reported rate of 0 must not cause a division by zero."""
         return gb / max(self.fetch_gb_per_s, 1e-3)
 
 
 class MalformedJobError(Exception):
-    """Not a job: answered 400."""
+    """The request body is not a valid job; answered with 400."""
 
 
-def parse(body: bytes) -> JobSpec:
-    """The submitted job, or MalformedJobError with the reason."""
+def parse_job(body: bytes) -> JobSpec:
+    """Decodes and validates a submitted job; raises MalformedJobError with the reason."""
     try:
         spec = msgspec.json.decode(body, type=JobSpec)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
@@ -102,72 +104,76 @@
 
 
 def valid_uid(uid: str) -> bool:
-    """Whether this could be a job's id at all."""
+    """Whether the string has the form of a job id."""
     return _UID.match(uid) is not None
 
 
-def fits(spec: JobSpec, kind: MachineType) -> bool:
+def fits(spec: JobSpec, machine_type: MachineType) -> bool:
     """Whether one task fits an empty machine of an allowed type."""
-    if spec.types is not None and kind.name not in spec.types:
+    if spec.types is not None and machine_type.name not in spec.types:
         return False
-    if spec.zone is not None and spec.zone not in kind.zones:
+    if spec.zone is not None and spec.zone not in machine_type.zones:
         return False
-    return spec.cpus <= kind.cpus and spec.gpus <= kind.gpus and spec.memory_gb <= kind.memory_gb
+    return (
+        spec.cpus <= machine_type.cpus and spec.gpus <= machine_type.gpus and spec.memory_gb <= machine_type.memory_gb
+    )
 
 
-def impossible(spec: JobSpec, kinds: Mapping[str, MachineType], teams: Mapping[str, Team]) -> str | None:
-    """Why the job can never run (answered 422), or None."""
+def infeasible_reason(spec: JobSpec, machine_types: Mapping[str, MachineType], teams: Mapping[str, Team]) -> str | None:
+    """Returns why the job can never run (answered with 422), or None."""
     team = teams.get(spec.team)
     if team is None:
         return "unknown team"
-    if not any(fits(spec, kind) for kind in kinds.values()):
+    if not any(fits(spec, machine_type) for machine_type in machine_types.values()):
         return "a task fits no allowed machine type"
-    least = spec.tasks if spec.service else 1
-    if (team.cpus_max and least * spec.cpus > team.cpus_max) or (team.gpus_max and least * spec.gpus > team.gpus_max):
+    min_tasks = spec.tasks if spec.service else 1
+    if (team.cpus_max and min_tasks * spec.cpus > team.cpus_max) or (
+        team.gpus_max and min_tasks * spec.gpus > team.gpus_max
+    ):
         return "over the team's limit"
     return None
 
 
 def block_size(value_kb: float) -> int:
-    """Tasks per block, so that all claims of a block fit one value of the state service."""
-    return max(1, int(value_kb * 1024 / BYTES_PER_TASK))
+    """Tasks per block, chosen so that all claims of a block fit into one value of the state service."""
+    return max(1, int(value_kb * 1024 / CLAIM_BYTES))
 
 
-def jobs_on(key: str, value: dict[str, Any]) -> dict[str, dict[str, Any]]:
-    """The accepted jobs on a record. One from before jobs shared records stands for itself."""
-    return value["jobs"] if "jobs" in value else {key.removeprefix(JOB): value}
+def jobs_in_record(key: str, value: dict[str, Any]) -> dict[str, dict[str, Any]]:
+    """The accepted jobs in a record, by id. A record of an older version holds a single job without the outer map."""
+    return value["jobs"] if "jobs" in value else {key.removeprefix(JOB_PREFIX): value}
 
 
 def page_key(number: int) -> str:
-    """The key of a page; pages are numbered without gaps."""
-    return f"{PAGE}{number}"
+    """The key of a page. Page numbers are consecutive and start at 0."""
+    return f"{PAGE_PREFIX}{number}"
 
 
 def block_count(tasks: int, size: int) -> int:
-    """How many blocks a job has."""
+    """Number of blocks of a job."""
     return math.ceil(tasks / size)
 
 
-def types_record(value: Any, most_bytes: float) -> Any:
-    """The cloud's machine types as they can be put on record.
+def types_record(value: Any, max_bytes: float) -> Any:
+    """The cloud's machine types, reduced as far as needed to fit into a record.
 
-    Whole, or else only what is read of them, or else as many as there is room for.
+    Unknown fields are dropped first, then machine types from the end of the list.
     """
-    if len(encode(value)) <= most_bytes:
+    if len(encode(value)) <= max_bytes:
         return value
-    kept = [msgspec.to_builtins(kind) for kind in parse_types(value).values()]
-    while kept and len(encode(kept)) > most_bytes:
-        log.error("machine type %s is left out: too many for a record", kept.pop()["name"])
+    kept = [msgspec.to_builtins(machine_type) for machine_type in parse_types(value).values()]
+    while kept and len(encode(kept)) > max_bytes:
+        log.error("machine type %s is not recorded: the list exceeds the size limit of a record", kept.pop()["name"])
     return kept
 
 
 def parse_types(value: Any) -> dict[str, MachineType]:
-    """Machine types from the cloud's answer or our copy of it; what can't be read is left out."""
-    kinds = {}
+    """Parses machine types from the cloud's answer or from the record; malformed entries are skipped."""
+    machine_types = {}
     for item in value if isinstance(value, list) else []:
         try:
-            kind = msgspec.convert(item, MachineType)
+            machine_type = msgspec.convert(item, MachineType)
         except msgspec.ValidationError:
             continue
-        kinds[kind.name] = kind
-    return kinds
+        machine_types[machine_type.name] = machine_type
+    return machine_types
--- a/ladderfield/jobs/responses.py
+++ b/ladderfield/jobs/responses.py
@@ -1,24 +1,24 @@
-"""Answers that all user requests share, and how long users wait for them."""
+"""Common replies to user requests, and the clients' timeouts."""
 
 from __future__ import annotations
 
 from ladderfield.http import Reply
 
-POLL_S = 2.0  # the protocol: how long a user waits for a poll's answer
-SUBMIT_S = 5.0  # and for the answer to a submission or a cancellation
-USABLE_SHARE = 0.7  # of these is ours to use; the rest is for the network and the client
+POLL_TIMEOUT_S = 2.0  # protocol: client timeout of a poll
+SUBMIT_TIMEOUT_S = 5.0  # protocol: client timeout of a submission or a cancellation
+USABLE_SHARE = 0.7  # of a client timeout; the rest covers the network and the client
 
 
-def busy(after: int) -> Reply:
-    """Can't be taken now; says when to come back."""
-    return Reply(503, {"error": "try again"}, retry_after=after)
+def unavailable(retry_after_s: int) -> Reply:
+    """503 with a Retry-After header."""
+    return Reply(503, {"error": "try again"}, retry_after=retry_after_s)
 
 
-def wrong_method() -> Reply:
-    """The path is known, the method isn't."""
+def method_not_allowed() -> Reply:
+    """405: the path exists, but not with this method."""
     return Reply(405, {"error": "method"})
 
 
 def no_such_job() -> Reply:
-    """The id was never accepted."""
+    """404: no job with this id was ever accepted."""
     return Reply(404, {"error": "no such job"})
--- a/ladderfield/jobs/submission.py
+++ b/ladderfield/jobs/submission.py
@@ -1,4 +1,4 @@
-"""Submissions: what is refused, and how an accepted job is confirmed."""
+"""Submission: validates jobs, writes accepted ones to the state service and confirms them."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 from ladderfield.jobs.lookup import JobLookup
 from ladderfield.jobs.model import (
     CANCELLED,
-    TYPES,
+    TYPES_KEY,
     JobSpec,
     MachineType,
     MalformedJobError,
     block_size,
-    impossible,
-    parse,
+    infeasible_reason,
+    parse_job,
     parse_types,
 )
-from ladderfield.jobs.responses import SUBMIT_S, USABLE_SHARE, busy
+from ladderfield.jobs.responses import SUBMIT_TIMEOUT_S, USABLE_SHARE, unavailable
 from ladderfield.rollout import Rollout
 from ladderfield.settings import Settings
 from ladderfield.state import StateClient
@@ -34,7 +34,7 @@
 
 
 class SubmissionHandler:
-    """Takes jobs, or says why not."""
+    """Handles submission requests."""
 
     def __init__(
         self,
@@ -47,96 +47,98 @@
     ) -> None:
         self.view, self.dependencies, self.rollout, self.lookup = view, dependencies, rollout, lookup
         self.teams = {team.name: team for team in settings.cluster.teams}
-        self.block = block_size(settings.cluster.state.value_kb)
-        self.acceptor = Acceptor(settings, client, view, dependencies, SUBMIT_S)
+        self.block_tasks = block_size(settings.cluster.state.value_kb)
+        self.acceptor = Acceptor(settings, client, view, dependencies, SUBMIT_TIMEOUT_S)
         self._types: tuple[int, dict[str, MachineType]] = (-1, {})
 
     async def submit(self, body: bytes) -> Reply:
-        """The answer to a submission."""
+        """The reply to a submission."""
         try:
-            spec = parse(body)
+            spec = parse_job(body)
         except MalformedJobError as error:
             return Reply(400, {"error": str(error)})
         if not self.view.synced:
-            return busy(1)
+            return unavailable(1)
         if (final := self.lookup.final(spec.uid)) is not None:
             return final
-        record = {"spec": msgspec.to_builtins(spec), "at": round(time.time(), 3), "block": self.block}
-        if (known_or_refused := await self._check(spec, record)) is not None:
+        record = {"spec": msgspec.to_builtins(spec), "at": round(time.time(), 3), "block": self.block_tasks}
+        if (known_or_refused := await self._known_or_refused(spec, record)) is not None:
             return known_or_refused
         if spec.needs and not self.rollout.complete:
-            return busy(2)  # an older version would start its tasks too early
+            return unavailable(2)  # a leader of an older version would start its tasks too early
         return await self._record(spec, record)
 
     def types(self) -> dict[str, MachineType]:
-        """Machine types as kept in the state service."""
-        stamp = self.view.stamp(TYPES)
-        if stamp != self._types[0]:
-            self._types = (stamp, parse_types(self.view.get(TYPES)))
+        """Machine types recorded in the state service."""
+        revision = self.view.stamp(TYPES_KEY)
+        if revision != self._types[0]:
+            self._types = (revision, parse_types(self.view.get(TYPES_KEY)))
         return self._types[1]
 
-    async def _check(self, spec: JobSpec, record: dict[str, Any]) -> Reply | None:
-        """The answer for a job that is known already or has to be refused; None if it can be put on record."""
-        kinds = self.types()
-        why = (impossible(spec, kinds, self.teams) if kinds else "unknown types") or self._never_ready(spec)
-        too_large = record_size(spec.uid, record) > self.acceptor.most_bytes
-        if spec.uid not in self.dependencies and why is None and not too_large:
+    async def _known_or_refused(self, spec: JobSpec, record: dict[str, Any]) -> Reply | None:
+        """The reply for a job that is already known or has to be refused; None if it can be written."""
+        machine_types = self.types()
+        reason = (
+            infeasible_reason(spec, machine_types, self.teams) if machine_types else "unknown types"
+        ) or self._unsatisfiable_needs(spec)
+        too_large = record_size(spec.uid, record) > self.acceptor.max_bytes
+        if spec.uid not in self.dependencies and reason is None and not too_large:
             return None
-        # Known already, or to be refused: both need the proof that nothing newer says otherwise. Another controller,
-        # or one with larger limits, may have accepted it, and an accepted job is never refused.
-        if not await self.view.fresh(SUBMIT_S * USABLE_SHARE):
-            return busy(1)
+        # Both a known job and a refusal require an up-to-date view. Another controller, possibly with larger limits,
+        # may have accepted the job meanwhile, and an accepted job is never refused.
+        if not await self.view.fresh(SUBMIT_TIMEOUT_S * USABLE_SHARE):
+            return unavailable(1)
         known = self.lookup.state(spec.uid)
         if known is not None:
             return known
         if too_large:
             return Reply(400, {"error": "its description is too large to be put on record"})
-        if not kinds:
-            return busy(2)
-        why = impossible(spec, kinds, self.teams) or self._never_ready(spec)
-        return None if why is None else Reply(422, {"error": why})
+        if not machine_types:
+            return unavailable(2)
+        reason = infeasible_reason(spec, machine_types, self.teams) or self._unsatisfiable_needs(spec)
+        return None if reason is None else Reply(422, {"error": reason})
 
-    def _never_ready(self, spec: JobSpec) -> str | None:
-        """Why what the job waits for can never be done, as far as the view tells."""
+    def _unsatisfiable_needs(self, spec: JobSpec) -> str | None:
+        """Returns why the needed jobs can never all be done, as far as the view shows; None if they can."""
         needs = spec.needs or ()
-        unknown = self.dependencies.unknown(needs)
+        unknown = self.dependencies.first_unknown(needs)
         if unknown is not None:
             return f"{unknown}, which it waits for, was never accepted"
-        endless = next((uid for uid in needs if self.dependencies.service(uid)), None)
-        return None if endless is None else f"{endless}, which it waits for, is a service"
+        active_service = next((uid for uid in needs if self.dependencies.is_active_service(uid)), None)
+        return None if active_service is None else f"{active_service}, which it waits for, is a service"
 
     async def _record(self, spec: JobSpec, record: dict[str, Any]) -> Reply:
-        """Put the job on record, and answer when it is."""
-        until = trio.current_time() + SUBMIT_S * USABLE_SHARE
-        late = self.acceptor.writing(spec.uid)
-        wanted = await self.acceptor.accept(spec.uid, record, until)
-        if late and wanted.known_at is not None:
-            # The write was begun before this was asked. While its answer was on the way others may have read it, and
-            # cancelled the job and said so.
-            fresh = await self.view.fresh(max(0.0, until - trio.current_time()))
-            return (self.lookup.state(spec.uid) if fresh else None) or busy(1)
-        if wanted.known_at == 0:
+        """Writes the job and replies once it is written."""
+        deadline = trio.current_time() + SUBMIT_TIMEOUT_S * USABLE_SHARE
+        joined_write = self.acceptor.write_started(spec.uid)
+        submission = await self.acceptor.accept(spec.uid, record, deadline)
+        if joined_write and submission.known_revision is not None:
+            # The write was started before this request arrived. Until its answer came, another controller may have
+            # read the job, cancelled it and confirmed the cancellation.
+            fresh = await self.view.fresh(max(0.0, deadline - trio.current_time()))
+            return (self.lookup.state(spec.uid) if fresh else None) or unavailable(1)
+        if submission.known_revision == 0:
             log.info(
-                "job %s: accepted, %s of %s, %d tasks, expects %.0f s, due %s",
+                "job %s: accepted: class %s, team %s, %d tasks, estimate %.0f s, deadline_s %s",
                 spec.uid, spec.job_class, spec.team, spec.tasks, spec.estimate_s, spec.deadline_s,
             )  # fmt: skip
-            return await self._accepted(spec, wanted.written_at, until)
-        if wanted.known_at:
-            with trio.move_on_at(until):
-                await self.view.reach(wanted.known_at)
-                return self.lookup.state(spec.uid) or busy(1)
-        return busy(1)
+            return await self._acceptance_reply(spec, submission.written_revision, deadline)
+        if submission.known_revision:
+            with trio.move_on_at(deadline):
+                await self.view.reach(submission.known_revision)
+                return self.lookup.state(spec.uid) or unavailable(1)
+        return unavailable(1)
 
-    async def _accepted(self, spec: JobSpec, written_at: int, until: float) -> Reply:
-        """The answer for a job that we have put on record."""
+    async def _acceptance_reply(self, spec: JobSpec, written_revision: int, deadline: float) -> Reply:
+        """The reply for a job that this controller has written."""
         phase = "queued"
         if spec.needs:
-            # It may stand on another controller's record as well and have been called cancelled by then, with one that
-            # it needs and without a final record of its own, which would have stopped our write. So the view has to
-            # hold all that came before.
-            with trio.move_on_at(until) as scope:
-                await self.view.reach(written_at)
+            # Another controller may have written the job too and reported it as cancelled with a job that it needs.
+            # In that case it need not have a final record yet, so the guard did not stop our write. So the view has to
+            # reach our write first.
+            with trio.move_on_at(deadline) as scope:
+                await self.view.reach(written_revision)
             if scope.cancelled_caught:
-                return busy(1)
+                return unavailable(1)
             phase = CANCELLED if self.dependencies.cancelled(spec.uid) else phase
         return Reply(201, {"uid": spec.uid, "phase": phase})
--- a/ladderfield/jobs/test_dependencies.py
+++ b/ladderfield/jobs/test_dependencies.py
@@ -1,4 +1,4 @@
-"""Which jobs are ready, which are cancelled with another, how urgent each is; whatever order the records come in."""
+"""Readiness, cancellation with another job and inherited urgency, for any order in which records arrive."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 
 
 class Records:
-    """Records that appear one by one."""
+    """Records that change one at a time, and the dependency graph that follows them."""
 
     def __init__(self) -> None:
         self.data: dict[str, Any] = {}
         self.dependencies = DependencyGraph(self.data.get)
 
     def put(self, key: str, value: Any) -> None:
-        """A key changes, or (None) goes."""
+        """Changes a record; None deletes it."""
         if value is None:
             self.data.pop(key, None)
         else:
             self.data[key] = value
-        self.dependencies.take(Change(key, value, 1))
+        self.dependencies.apply_change(Change(key, value, 1))
 
     def accept(self, uid: str, *needs: str, **changes: Any) -> None:
-        """A job that waits for others is accepted."""
+        """Adds a job record of a job with these needs."""
         self.put(f"lf/j/{uid}", accepted(job(uid, waitsOn=list(needs), **changes), at=1000.0))
 
     def end(self, uid: str, phase: str = "done") -> None:
-        """A job ends."""
+        """Adds the final record of a job."""
         self.put(f"lf/f/{uid}", {"phase": phase, "at": 1100.0})
 
 
@@ -40,7 +40,7 @@
     return [f"req-{n:06d}" for n in range(count)]
 
 
-def test_a_job_is_ready_once_all_it_needs_are_done_on_record() -> None:
+def test_a_job_is_ready_once_all_jobs_it_needs_have_a_done_record() -> None:
     records = Records()
     a, b, c = uids(3)
     records.accept(a)
@@ -51,28 +51,30 @@
     assert records.dependencies.unmet([a, b]) == {b}
     records.put(f"lf/j/{a}", None)
     records.end(b, "cancelled")
-    assert records.dependencies.unmet([a, b]) == {b}, "cancelled is not done"
+    assert records.dependencies.unmet([a, b]) == {b}, "a cancelled job counted as done"
 
 
-def test_a_diamond_is_cancelled_with_its_first_job_in_whatever_order_that_is_seen() -> None:
+def test_a_diamond_is_cancelled_with_its_first_job_whatever_the_order_of_records() -> None:
     a, b, c, d = uids(4)
-    accepted_with = {a: (), b: (a,), c: (a,), d: (b, c)}
-    for order in itertools.permutations([*accepted_with, "the end of the first"]):
+    needs_of = {a: (), b: (a,), c: (a,), d: (b, c)}
+    for order in itertools.permutations([*needs_of, "the end of the first"]):
         records = Records()
         for step in order:
-            if step in accepted_with:
-                records.accept(step, *accepted_with[step])
+            if step in needs_of:
+                records.accept(step, *needs_of[step])
             else:
                 records.end(a, "cancelled")
         assert all(records.dependencies.cancelled(uid) for uid in (a, b, c, d)), order
-        assert set(records.dependencies.all_after(a)) == {b, c, d} and set(records.dependencies.all_before(d)) == {
+        assert set(records.dependencies.all_dependents(a)) == {b, c, d} and set(
+            records.dependencies.all_dependencies(d)
+        ) == {
             a,
             b,
             c,
         }
 
 
-def test_a_chain_of_thousands_is_walked_without_recursion_and_asked_for_nothing() -> None:
+def test_a_chain_of_thousands_of_jobs_is_cancelled_without_recursion() -> None:
     records = Records()
     chain = uids(3000)
     records.accept(chain[0])
@@ -81,10 +83,12 @@
     records.end(chain[0], "cancelled")
     assert all(records.dependencies.cancelled(uid) for uid in chain)
     records.accept("req-999999", chain[-1])
-    assert records.dependencies.cancelled("req-999999"), "named only after it was cancelled"
+    assert records.dependencies.cancelled("req-999999"), (
+        "a job added after the cancellation of one that it needs is not cancelled"
+    )
 
 
-def test_what_was_done_before_a_cancellation_lets_the_rest_go_on() -> None:
+def test_jobs_that_need_a_done_job_are_not_cancelled() -> None:
     records = Records()
     a, b, c = uids(3)
     records.accept(a)
@@ -97,7 +101,7 @@
     )
 
 
-def test_cleared_records_leave_nothing_behind() -> None:
+def test_a_job_leaves_the_graph_once_no_record_holds_it() -> None:
     records = Records()
     a, b = uids(2)
     records.accept(a)
@@ -105,14 +109,18 @@
     records.put("lf/j/second", {"jobs": records.data[f"lf/j/{b}"]["jobs"]})  # a retry at another controller
     records.end(a, "cancelled")
     records.put(f"lf/j/{b}", None)
-    assert records.dependencies.cancelled(b) and b in records.dependencies, "another record names it still"
+    assert records.dependencies.cancelled(b) and b in records.dependencies, (
+        "a job that another record still holds was dropped"
+    )
     records.end(b, "cancelled")
     records.put("lf/j/second", None)
     records.put(f"lf/j/{a}", None)
-    assert records.dependencies.cancelled(b) and a not in records.dependencies and not records.dependencies.after(a)
+    assert (
+        records.dependencies.cancelled(b) and a not in records.dependencies and not records.dependencies.dependents(a)
+    )
 
 
-def test_rank_and_due_time_go_backwards_less_what_the_stages_between_need() -> None:
+def test_rank_and_due_time_are_inherited_less_the_estimates_of_the_stages_between() -> None:
     records = Records()
     a, b, c = uids(3)
     records.accept(a, rank="best_effort")
@@ -125,7 +133,7 @@
     assert records.dependencies.urgency(b) == (STANDARD, None) and records.dependencies.urgency(a) == (STANDARD, None)
 
 
-def test_an_array_does_not_inherit_the_rights_of_production() -> None:
+def test_an_array_does_not_inherit_the_production_rank() -> None:
     records = Records()
     a, b = uids(2)
     records.accept(a, rank="best_effort")
@@ -133,7 +141,7 @@
     assert records.dependencies.urgency(a)[0] == URGENT
 
 
-def test_records_that_contradict_each_other_end_nothing() -> None:
+def test_a_dependency_cycle_in_the_records_cancels_nothing() -> None:
     records = Records()
     a, b = uids(2)
     records.accept(a, b, dueS=50.0)
@@ -141,10 +149,10 @@
     assert records.dependencies.unmet([a]) == {a} and not records.dependencies.cancelled(a)
 
 
-def test_only_services_that_go_on_can_never_be_waited_for() -> None:
+def test_only_a_service_that_has_not_ended_can_not_be_waited_for() -> None:
     records = Records()
     a, b = uids(2)
     records.accept(a, shape="daemon")
-    assert records.dependencies.service(a) and records.dependencies.unknown([a, b]) == b
+    assert records.dependencies.is_active_service(a) and records.dependencies.first_unknown([a, b]) == b
     records.end(a, "cancelled")
-    assert not records.dependencies.service(a)
+    assert not records.dependencies.is_active_service(a)
--- a/ladderfield/jobs/test_jobs.py
+++ b/ladderfield/jobs/test_jobs.py
@@ -1,4 +1,4 @@
-"""What is a job, what can never run, and how the jobs API answers what it can't take."""
+"""Validation of jobs, jobs that can never run, and the jobs API under load and faults."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 from ladderfield.http import Client, Request
 from ladderfield.jobs.api import JobsApi
-from ladderfield.jobs.model import JobSpec, MalformedJobError, impossible, parse, parse_types
+from ladderfield.jobs.model import JobSpec, MalformedJobError, infeasible_reason, parse_job, parse_types
 from ladderfield.settings import Team
 from ladderfield.testing import TYPES, job
 from ladderfield.testing.jobs_api import serving_jobs_api
 
-KINDS = parse_types(TYPES)
+MACHINE_TYPES = parse_types(TYPES)
 TEAMS = {"red": Team("red", cpus_max=16.0), "blue": Team("blue")}
 
 
@@ -29,30 +29,30 @@
 )  # fmt: skip
 def test_malformed_jobs_are_refused(change: dict[str, Any]) -> None:
     with pytest.raises(MalformedJobError):
-        parse(msgspec.json.encode(job(**change)))
+        parse_job(msgspec.json.encode(job(**change)))
 
 
 @pytest.mark.parametrize("body", [b"", b"[]", b"{", b'{"cores": NaN}', b"\xff\xfe", b"[" * 60_000, b"1e999"])
-def test_what_is_no_object_is_refused(body: bytes) -> None:
+def test_a_body_that_is_no_json_object_is_refused(body: bytes) -> None:
     with pytest.raises(MalformedJobError):
-        parse(body)
+        parse_job(body)
 
 
 def test_infinite_amounts_and_missing_fields_are_refused() -> None:
     text = msgspec.json.encode(job())
     with pytest.raises(MalformedJobError):
-        parse(text.replace(b'"cores":2.0', b'"cores":1e999'))
-    short = job()
-    del short["bundle"]
+        parse_job(text.replace(b'"cores":2.0', b'"cores":1e999'))
+    incomplete = job()
+    del incomplete["bundle"]
     with pytest.raises(MalformedJobError):
-        parse(msgspec.json.encode(short))
+        parse_job(msgspec.json.encode(incomplete))
 
 
 def test_nullable_fields_may_be_absent_and_unknown_ones_are_ignored() -> None:
     spec = job(colour="green")
     for field in ("flavours", "yard", "dueS"):
         del spec[field]
-    assert parse(msgspec.json.encode(spec)).types is None
+    assert parse_job(msgspec.json.encode(spec)).types is None
 
 
 @pytest.mark.parametrize(
@@ -64,15 +64,15 @@
         ({"rungs": 9, "shape": "daemon", "owner": "blue"}, None),
     ],
 )  # fmt: skip
-def test_what_can_never_run(change: dict[str, Any], reason: str | None) -> None:
-    why = impossible(msgspec.convert(job(**change), JobSpec), KINDS, TEAMS)
-    assert (why is None) if reason is None else (why is not None and reason in why)
+def test_a_job_that_can_never_run_is_refused_with_the_reason(change: dict[str, Any], reason: str | None) -> None:
+    refusal = infeasible_reason(msgspec.convert(job(**change), JobSpec), MACHINE_TYPES, TEAMS)
+    assert (refusal is None) if reason is None else (refusal is not None and reason in refusal)
 
 
-async def test_overload_is_answered_at_once_with_a_time_to_come_back(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_overload_is_answered_at_once_with_retry_after(monkeypatch: pytest.MonkeyPatch) -> None:
     async with trio.open_nursery() as nursery:
         api, _ = await serving_jobs_api(monkeypatch, nursery)
-        api.requests = api.most_requests
+        api.requests = api.max_requests
         begin = trio.current_time()
         reply = await api(Request("POST", "/api/jobs", msgspec.json.encode(job())))
         assert reply is not None and reply.status == 503 and reply.retry_after
@@ -84,7 +84,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_a_burst_of_polls_shares_reads(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_concurrent_polls_share_reads(monkeypatch: pytest.MonkeyPatch) -> None:
     async with trio.open_nursery() as nursery:
         api, service = await serving_jobs_api(monkeypatch, nursery)
         before = service.calls
@@ -102,7 +102,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_a_known_job_is_never_refused_later(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_an_accepted_job_is_not_refused_on_resubmission(monkeypatch: pytest.MonkeyPatch) -> None:
     async with trio.open_nursery() as nursery:
         api, service = await serving_jobs_api(monkeypatch, nursery)
         body = msgspec.json.encode(job())
@@ -114,14 +114,14 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_strange_answers_of_the_state_service_count_as_none(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_malformed_answers_of_the_state_service_count_as_no_answer(monkeypatch: pytest.MonkeyPatch) -> None:
     async with trio.open_nursery() as nursery:
         api, _ = await serving_jobs_api(monkeypatch, nursery)
 
-        async def strange(*_: Any, **__: Any) -> tuple[int, bytes]:
+        async def malformed(*_: Any, **__: Any) -> tuple[int, bytes]:
             return 200, b'{"ledger": "many", "pairs": 3}'
 
-        monkeypatch.setattr(Client, "call", strange)
+        monkeypatch.setattr(Client, "call", malformed)
         reply = await api(Request("GET", "/api/jobs/req-000001", b""))
         assert reply is not None and reply.status == 503
         reply = await api(Request("POST", "/api/jobs", msgspec.json.encode(job())))
@@ -130,7 +130,7 @@
 
 
 async def _submit(api: JobsApi, *uids: str) -> dict[str, int]:
-    """Submissions at the same moment; their statuses."""
+    """Submits jobs concurrently and returns the status of each reply."""
     statuses: dict[str, int] = {}
 
     async def submit(uid: str) -> None:
@@ -144,8 +144,8 @@
     return statuses
 
 
-async def test_a_burst_of_submissions_shares_records(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Fleet days: 131 jobs at the start took 6 s to be accepted, as each was a change of its own."""
+async def test_concurrent_submissions_share_records(monkeypatch: pytest.MonkeyPatch) -> None:
+    """One write per job took 6 s to accept 131 jobs submitted at once."""
     async with trio.open_nursery() as nursery:
         api, service = await serving_jobs_api(monkeypatch, nursery)
         begin, uids = trio.current_time(), [f"req-{n:06d}" for n in range(60)]
@@ -157,7 +157,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_a_job_too_large_for_a_record_costs_nobody_else_theirs(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_job_too_large_for_a_record_does_not_block_other_submissions(monkeypatch: pytest.MonkeyPatch) -> None:
     async with trio.open_nursery() as nursery:
         api, service = await serving_jobs_api(monkeypatch, nursery)
         reply = await api(Request("POST", "/api/jobs", msgspec.json.encode(job("req-000007", bundle="x" * 20_000))))
@@ -167,28 +167,28 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_records_from_before_jobs_shared_them_are_read(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_records_of_a_single_job_from_older_versions_are_read(monkeypatch: pytest.MonkeyPatch) -> None:
     async with trio.open_nursery() as nursery:
         api, service = await serving_jobs_api(monkeypatch, nursery)
-        old = {"spec": job("req-000005"), "at": 1.0, "block": 256}
-        await service._multi({"guards": [], "apply": [{"put": "lf/j/req-000005", "value": old}]})
+        old_record = {"spec": job("req-000005"), "at": 1.0, "block": 256}
+        await service._multi({"guards": [], "apply": [{"put": "lf/j/req-000005", "value": old_record}]})
         await trio.sleep(1)
         reply = await api(Request("GET", "/api/jobs/req-000005", b""))
         assert reply is not None and reply.status == 200
         nursery.cancel_scope.cancel()
 
 
-async def test_a_job_that_is_decided_does_not_cost_the_others_their_record(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_job_that_has_ended_does_not_block_the_others_of_its_batch(monkeypatch: pytest.MonkeyPatch) -> None:
     async with trio.open_nursery() as nursery:
         api, service = await serving_jobs_api(monkeypatch, nursery)
-        real = service._multi
+        commit = service._multi
 
-        async def overtaken(body: dict[str, Any]) -> Any:
-            service._multi = real  # type: ignore[method-assign]
-            await real({"guards": [], "apply": [{"put": "lf/f/req-000002", "value": {"phase": "cancelled"}}]})
-            return await real(body)
+        async def end_job_first(body: dict[str, Any]) -> Any:
+            service._multi = commit  # type: ignore[method-assign]
+            await commit({"guards": [], "apply": [{"put": "lf/f/req-000002", "value": {"phase": "cancelled"}}]})
+            return await commit(body)
 
-        service._multi = overtaken  # type: ignore[method-assign]
+        service._multi = end_job_first  # type: ignore[method-assign]
         await _submit(api, "req-000009")
         assert await _submit(api, "req-000001", "req-000002", "req-000003") == {
             "req-000001": 201, "req-000002": 200, "req-000003": 201,
@@ -196,25 +196,25 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_a_write_without_an_answer_is_asked_for_again_and_a_late_copy_does_nothing(
+async def test_an_unanswered_write_is_retried_and_a_delayed_duplicate_has_no_effect(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with trio.open_nursery() as nursery:
         api, service = await serving_jobs_api(monkeypatch, nursery)
         bodies: list[dict[str, Any]] = []
-        real = service._multi
+        commit = service._multi
 
-        async def noted(body: dict[str, Any]) -> Any:
+        async def recorded(body: dict[str, Any]) -> Any:
             bodies.append(body)
-            return await real(body)
+            return await commit(body)
 
-        service._multi = noted  # type: ignore[method-assign]
+        service._multi = recorded  # type: ignore[method-assign]
         service.lose_answers = 1
         statuses = await _submit(api, "req-000001", "req-000002")
-        assert set(statuses.values()) == {503}, "nothing else answers either, so they are told to come back"
+        assert set(statuses.values()) == {503}, "submissions without an answer from the state service should get 503"
         statuses = await _submit(api, "req-000001", "req-000002")
-        assert set(statuses.values()) == {200}, "known all the time"
-        await real({"guards": [], "apply": [{"put": f"lf/f/{uid}", "value": {"phase": "done"}} for uid in statuses]})
-        await real({"guards": [], "apply": [{"delete": key} for key in service.keys if key.startswith("lf/j/")]})
-        assert (await real(bodies[0])).status == 409
+        assert set(statuses.values()) == {200}, "the lost write was applied, so the jobs should be known"
+        await commit({"guards": [], "apply": [{"put": f"lf/f/{uid}", "value": {"phase": "done"}} for uid in statuses]})
+        await commit({"guards": [], "apply": [{"delete": key} for key in service.keys if key.startswith("lf/j/")]})
+        assert (await commit(bodies[0])).status == 409
         nursery.cancel_scope.cancel()
