--- a/ladderfield/cli.py
+++ b/ladderfield/cli.py
@@ -67,18 +67,18 @@
 @click.option(options.TIME_ZONE, metavar="NAME", help="Time zone of the windows, as Asia/Kuala_Lumpur.")
 @click.option(options.HOLIDAYS, metavar="COUNTRY", help="Whose public holidays count, as MY or MY-10.")
 @click.option(
-    reach_options.BY_REACH,
+    reach_options.BY_REACH_FLAG,
     is_flag=True,
     help="A leader that no worker reaches makes way for a controller that workers do reach.",
 )
 @click.option(
-    reach_options.TENURE,
+    reach_options.MINIMUM_TERM_FLAG,
     type=float,
     metavar="SECONDS",
     help="No leader makes way earlier.  [default: a worker's lease]",
 )
 @click.option(
-    reach_options.STAND_BACK,
+    reach_options.CANDIDACY_DELAY_FLAG,
     type=float,
     metavar="SECONDS",
     help="How long a controller that reaches no worker lets others go first.  [default: 2 report intervals]",
--- a/ladderfield/fleet/cloud.py
+++ b/ladderfield/fleet/cloud.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from ladderfield.budget import Budget
-from ladderfield.connectivity.links import Exchange, exchange_of
+from ladderfield.connectivity.links import Exchange, exchange_for_status
 from ladderfield.http import Client, NoAnswerError, decode_object
 from ladderfield.settings import Settings, address
 
@@ -61,7 +61,7 @@
             self.observe(Exchange.LOST)
             await self._client.drop()
             raise CloudError(str(error)) from None
-        self.observe(exchange_of(status))
+        self.observe(exchange_for_status(status))
         if status == 429:
             self.budget.drain()
         return status, answer
--- a/ladderfield/jobs/accept.py
+++ b/ladderfield/jobs/accept.py
@@ -148,10 +148,10 @@
         else:
             if outcome.failed is None:
                 for submission in batch:
-                    submission.written_revision = outcome.ledger
+                    submission.written_revision = outcome.revision
                     self._resolve(submission, 0)
             else:
-                await self._guards_failed(batch, key, outcome.ledger, outcome.failed)
+                await self._guards_failed(batch, key, outcome.revision, outcome.failed)
 
     def _write_refused(self, batch: list[PendingSubmission], error: WriteRefusedError) -> None:
         """Halves the batch size, as the same write would be refused again. A single refused job counts as unwritten."""
@@ -176,7 +176,7 @@
         controller.
         """
         with trio.move_on_after(self.client_timeout_s * WRITE_TIMEOUT_SHARE):
-            await self.view.reach(revision)
+            await self.view.wait_for_revision(revision)
         for submission in batch:
             if (
                 FINAL_PREFIX + submission.uid in failed
--- a/ladderfield/jobs/cancel.py
+++ b/ladderfield/jobs/cancel.py
@@ -60,10 +60,10 @@
                 continue
             if outcome.failed is None:
                 log.info("job %s: cancelled by user", uid)
-                self.cancellations.add_confirmed(uid, outcome.ledger)
+                self.cancellations.add_confirmed(uid, outcome.revision)
                 return Reply(200, {"uid": uid, "phase": CANCELLED})
             with trio.move_on_at(deadline):
-                await self.view.reach(outcome.ledger)
+                await self.view.wait_for_revision(outcome.revision)
         return unavailable(1)
 
     async def _unknown_job_reply(self, uid: str, deadline: float) -> Reply | None:
--- a/ladderfield/jobs/cancellations.py
+++ b/ladderfield/jobs/cancellations.py
@@ -27,7 +27,7 @@
     def apply_change(self, change: Change) -> None:
         """Handles a changed record."""
         if change.key.startswith(FINAL_PREFIX) and change.value is not None and change.value["phase"] == CANCELLED:
-            self._add(change.key.removeprefix(FINAL_PREFIX), change.stamp)
+            self._add(change.key.removeprefix(FINAL_PREFIX), change.revision)
 
     def add_confirmed(self, uid: str, revision: int) -> None:
         """Adds a cancellation that this controller wrote and is about to confirm to its user."""
--- a/ladderfield/jobs/submission.py
+++ b/ladderfield/jobs/submission.py
@@ -64,13 +64,13 @@
         record = {"spec": msgspec.to_builtins(spec), "at": round(time.time(), 3), "block": self.block_tasks}
         if (known_or_refused := await self._known_or_refused(spec, record)) is not None:
             return known_or_refused
-        if spec.needs and not self.rollout.complete:
+        if spec.needs and not self.rollout.supports_dependencies:
             return unavailable(2)  # a leader of an older version would start its tasks too early
         return await self._record(spec, record)
 
     def types(self) -> dict[str, MachineType]:
         """Machine types recorded in the state service."""
-        revision = self.view.stamp(TYPES_KEY)
+        revision = self.view.revision_of(TYPES_KEY)
         if revision != self._types[0]:
             self._types = (revision, parse_types(self.view.get(TYPES_KEY)))
         return self._types[1]
@@ -125,7 +125,7 @@
             return await self._acceptance_reply(spec, submission.written_revision, deadline)
         if submission.known_revision:
             with trio.move_on_at(deadline):
-                await self.view.reach(submission.known_revision)
+                await self.view.wait_for_revision(submission.known_revision)
                 return self.lookup.state(spec.uid) or unavailable(1)
         return unavailable(1)
 
@@ -137,7 +137,7 @@
             # In that case it need not have a final record yet, so the guard did not stop our write. So the view has to
             # reach our write first.
             with trio.move_on_at(deadline) as scope:
-                await self.view.reach(written_revision)
+                await self.view.wait_for_revision(written_revision)
             if scope.cancelled_caught:
                 return unavailable(1)
             phase = CANCELLED if self.dependencies.cancelled(spec.uid) else phase
--- a/ladderfield/jobs/test_needs.py
+++ b/ladderfield/jobs/test_needs.py
@@ -68,7 +68,7 @@
         await trio.sleep(1)
         assert (await submit(api, B, A))[0] == 201
         service.down = True
-        assert api.submissions.rollout.complete, "a completed rollout was forgotten"
+        assert api.submissions.rollout.supports_dependencies, "a completed rollout was forgotten"
         nursery.cancel_scope.cancel()
 
 
@@ -78,7 +78,7 @@
         await put(service, {"lf/v/n1": {"level": 2, "more": []}, "lf/v/n2": {"level": 1}})
         nursery.start_soon(api.submissions.rollout.run)
         await trio.sleep(1)
-        assert api.submissions.rollout.complete
+        assert api.submissions.rollout.supports_dependencies
         changes = service.ledger
         await trio.sleep(30)
         assert service.ledger == changes
--- a/ladderfield/leader/actor.py
+++ b/ladderfield/leader/actor.py
@@ -88,9 +88,16 @@
         self.inbox_size = max(MIN_INBOX_MESSAGES, int(settings.cluster.quota.max_connections * INBOX_SHARE))
         self.send, self.inbox = trio.open_memory_channel[Message](self.inbox_size)
         self.scheduler = Scheduler(
-            settings, term.epoch, trio.current_time(), time.time(), grace, dependencies, term.before, zone_options
+            settings,
+            term.epoch,
+            trio.current_time(),
+            time.time(),
+            grace,
+            dependencies,
+            term.earlier_leaders,
+            zone_options,
         )
-        self.ledger = Ledger(self.scheduler, term.stamp, settings.cluster.state.txn_ops)
+        self.ledger = Ledger(self.scheduler, term.epoch_revision, settings.cluster.state.txn_ops)
         self.dispatcher = Dispatcher(settings, term, self.scheduler, self.send)
         self.term.earlier = self.scheduler.earlier
         self.scheduler.authority = self.term.authority
@@ -116,12 +123,12 @@
 
     async def run(self, announce: Callable[[trio.MemorySendChannel[Message] | None], None]) -> None:
         """Take over, announce the inbox, and run until the term ends."""
-        while self.view.ledger < self.term.stamp:
+        while self.view.revision < self.term.epoch_revision:
             # The takeover needs a current view, but a term that has ended must not delay the next one.
             if self.term.over.is_set():
                 return
             with trio.move_on_after(self.term.ttl):
-                await self.view.reach(self.term.stamp)
+                await self.view.wait_for_revision(self.term.epoch_revision)
         async with self.view.subscribe() as changes:
             self.scheduler.load(dict(self.view.data), trio.current_time())
             log.info(
@@ -224,7 +231,7 @@
         judgement = authority.judge_epoch(report.epoch, now)
         if judgement is EpochJudgement.NOT_LATER:
             return False
-        if judgement is EpochJudgement.INVENTED:
+        if judgement is EpochJudgement.IMPOSSIBLE:
             self.scheduler.mark_faulty_for_epoch(report.host, report.epoch)
         else:
             self.term.end(f"machine {report.host} has seen epoch {report.epoch}")
@@ -243,7 +250,7 @@
         if message.outcome is None:
             self.ledger.refused(message.txn)
         elif message.outcome.failed is None:
-            self.ledger.applied(message.txn, message.outcome.ledger, now)
+            self.ledger.applied(message.txn, message.outcome.revision, now)
         elif EPOCH in message.outcome.failed:
             self.term.end("another epoch was recorded")
         else:
@@ -255,7 +262,7 @@
         if machine is None:
             return
         if self.reachability is not None and message.report is not None:
-            self.reachability.workers.asked(machine.zone, True, now)
+            self.reachability.workers.note_exchange(machine.zone, True, now)
         if message.report is None or message.report.host != message.host:
             # Counts only for a machine that reports to this controller directly: one that is silent or relayed is
             # unreachable from here anyway.
@@ -278,10 +285,10 @@
         for uid in message.uids:
             # It must have been confirmed after ``known_at``, or it would be known already.
             self.scheduler.cancellation_reported(uid, self.term.known_at, now)
-        self.term.knows(message.known_at)
+        self.term.note_known(message.known_at)
 
     def _on_no_other_leader(self, message: NoOtherLeader, now: float) -> None:
-        self.scheduler.earlier.none_left(self.term.epoch, now)
+        self.scheduler.earlier.confirm_none_left(self.term.epoch, now)
 
     def _on_controllers_checked(self, message: ControllersChecked, now: float) -> None:
         self.scheduler.zones.on_controllers_checked(message.reachable)
@@ -301,9 +308,9 @@
         counts = {
             zone: (count.machines, count.reporting_directly) for zone, count in self.scheduler.detector.zones.items()
         }
-        self.reachability.workers.counted(counts)
-        machines_back = 0 if self.resignation is None else self.resignation.succession.came_back(now)
-        self.reachability.look(now, TIMER_REPORT_INTERVALS * self.report_s, machines_back)
+        self.reachability.workers.set_leader_counts(counts)
+        machines_back = 0 if self.resignation is None else self.resignation.succession.reporting_elsewhere(now)
+        self.reachability.judge_workers(now, TIMER_REPORT_INTERVALS * self.report_s, machines_back)
         self.authority_log.observe(self.term.authority(), now)
         if self.resignation is not None:
             self.resignation.consider(now)
--- a/ladderfield/leader/cloud_tasks.py
+++ b/ladderfield/leader/cloud_tasks.py
@@ -63,7 +63,7 @@
                 if parse_types(machine_types) and machine_types != self.view.get(TYPES_KEY):
                     await self.client.leader_writes.take()
                     # The guard on the types stops a delayed copy of this write from restoring older ones.
-                    guards = {EPOCH: self.term.stamp, TYPES_KEY: self.view.stamp(TYPES_KEY)}
+                    guards = {EPOCH: self.term.epoch_revision, TYPES_KEY: self.view.revision_of(TYPES_KEY)}
                     await self.client.commit(guards, {TYPES_KEY: machine_types}, [], self.report_s)
                 await trio.sleep(TYPES_REPORT_INTERVALS * self.report_s)
             except (CloudError, StateServiceError) as error:
--- a/ladderfield/leader/failure_detector.py
+++ b/ladderfield/leader/failure_detector.py
@@ -10,7 +10,7 @@
 
 from ladderfield.clocks import CLOCKS
 from ladderfield.connectivity.authority import Decision
-from ladderfield.connectivity.reachability import WINDOW
+from ladderfield.connectivity.reachability import WINDOW_REPORT_INTERVALS
 from ladderfield.leader.tables import SILENCE_REPORT_INTERVALS, LeaderTables
 from ladderfield.queues.work import task_name
 from ladderfield.workers.machine import UNKNOWN, Machine
@@ -81,18 +81,20 @@
             zone.silent += 1
             zone.lease_expired += now > self.lease_over_at(machine)
         direct = not machine.relayed and machine.unsolicited_report_at is not None
-        zone.reporting_directly += direct and now - (machine.unsolicited_report_at or 0.0) <= WINDOW * tables.report_s
+        zone.reporting_directly += (
+            direct and now - (machine.unsolicited_report_at or 0.0) <= WINDOW_REPORT_INTERVALS * tables.report_s
+        )
 
     def lease_over_at(self, machine: Machine) -> float:
         """The time by which the machine's lease has certainly expired."""
         tables = self.tables
-        unheard = tables.authority().verdict(Decision.END_UNHEARD_CLAIM)
+        unheard = tables.authority().verdict(Decision.END_UNACKNOWLEDGED_CLAIM)
         return machine.lease_over_at(tables.epoch, tables.term_from, unheard.since, tables.lease_s)
 
     def _silence_limit_s(self, machine: Machine, now: float) -> float:
         """How many seconds the machine may be silent before it is lost."""
         tables, cut, term_from = self.tables, machine.zone in self.cut_zones, self.tables.term_from
-        unheard = tables.authority().verdict(Decision.END_UNHEARD_CLAIM)
+        unheard = tables.authority().verdict(Decision.END_UNACKNOWLEDGED_CLAIM)
         sole_leader = unheard.holds(now)
         # After a takeover a machine may still be trying controllers that don't answer. A machine whose reports are
         # relayed is redirected to the leader from time to time and waits for a timeout before it goes back.
@@ -152,7 +154,7 @@
             return "the cloud lists it as failed"
         silent, silence_limit_s = machine.silent_for(now, tables.term_from), self._silence_limit_s(machine, now)
         booted = machine.last_report_at is not None or machine.claims or machine.kind is UNKNOWN
-        silence_counts = tables.authority().allows(Decision.GIVE_UP_MACHINE, now)
+        silence_counts = tables.authority().allows(Decision.DECLARE_MACHINE_LOST, now)
         if booted and silent > silence_limit_s and silence_counts:
             return f"no valid report or answer for {silent:.1f} s"
         if machine.unreachable_since is not None:
--- a/ladderfield/leader/records.py
+++ b/ladderfield/leader/records.py
@@ -194,7 +194,7 @@
         for change in changes:
             # Jobs come first: a batch from a full read is not in chronological order, and a final record needs its job.
             if change.key.startswith(JOB_PREFIX):
-                self._add_jobs(change.key, change.value, change.stamp, now)
+                self._add_jobs(change.key, change.value, change.revision, now)
         for change in changes:
             if change.key.startswith(FINAL_PREFIX):
                 self._on_final_record(change.key, change.value, now)
--- a/ladderfield/leader/resignation.py
+++ b/ladderfield/leader/resignation.py
@@ -56,7 +56,7 @@
         """Start to resign if that is due."""
         if self.term.resigning or now < self._not_before or self.better_peer(now) is None:
             return
-        if not self.rollout.reach_everywhere or time.time() < self._backoff_until():
+        if not self.rollout.supports_reach_exchange or time.time() < self._backoff_until():
             return
         self.term.resigning = True
         self.nursery.start_soon(self._resign)
@@ -97,7 +97,7 @@
 
     async def _record(self) -> bool:
         """Record the resignation, so that the next leaders don't resign for a while; whether it succeeded."""
-        guards = {EPOCH: self.term.stamp, RESIGNATIONS: self.view.stamp(RESIGNATIONS)}
+        guards = {EPOCH: self.term.epoch_revision, RESIGNATIONS: self.view.revision_of(RESIGNATIONS)}
         value = self.history.next(self.view.get(RESIGNATIONS), self.member, time.time())
         try:
             await self.client.leader_writes.take(urgent=True)
--- a/ladderfield/leader/tables.py
+++ b/ladderfield/leader/tables.py
@@ -67,7 +67,7 @@
         self.changed = True  # since the last pass, in a way that may let a task start
         self._attempts = 0
         self.estimates = Estimates(settings, self.wall_offset)
-        self.earlier = EarlierLeaders.of(now + grace_s, earlier_terms or {}, settings.peers, self.wall_offset)
+        self.earlier = EarlierLeaders.from_record(now + grace_s, earlier_terms or {}, settings.peers, self.wall_offset)
         self.authority: Callable[[], Authority] = self._default_authority
         self.zones = ZonePolicy()
         self.push: Callable[[Machine], None] = lambda machine: None
--- a/ladderfield/leader/test_failure_detector.py
+++ b/ladderfield/leader/test_failure_detector.py
@@ -18,7 +18,7 @@
 
 def test_the_wait_for_earlier_leaders_ends_when_all_others_are_followers() -> None:
     harness = SchedulerHarness(inherited())
-    harness.scheduler.earlier.none_left(harness.scheduler.epoch, 3.0)
+    harness.scheduler.earlier.confirm_none_left(harness.scheduler.epoch, 3.0)
     harness.scheduler.sweep(3.0 + 12.0)
     assert harness.machine().claims, "an earlier leader may have renewed the lease until then"
     harness.scheduler.sweep(3.0 + 12.0 * CLOCKS + 0.01)
--- a/ladderfield/leader/test_resignation.py
+++ b/ladderfield/leader/test_resignation.py
@@ -11,7 +11,7 @@
 from ladderfield.connectivity.reachability import Reachability
 from ladderfield.connectivity.resignations import RESIGNATIONS
 from ladderfield.connectivity.succession import PeerReach, Succession
-from ladderfield.connectivity.worker_reach import Directions, ZoneReach
+from ladderfield.connectivity.worker_reach import CutDirections, ZoneReach
 from ladderfield.leader.resignation import Resignation
 from ladderfield.leadership import EPOCH
 from ladderfield.rollout import REACH_EXCHANGE, Rollout
@@ -30,10 +30,10 @@
         self.term, self.client = self.leader.term, self.leader.client
         workers = settings().cluster.workers
         self.reachability = Reachability(workers.report_s, workers.lease_s, 100)
-        self.reachability.cut = Directions(True, True)
+        self.reachability.cut = CutDirections(True, True)
         self.succession = Succession(ReachOptions(MIN_TERM_S, 4.0), workers.report_s)
         rollout = Rollout(settings(), self.client, self.leader.view)
-        rollout._everywhere = REACH_EXCHANGE
+        rollout._common_level = REACH_EXCHANGE
         self.resignation = Resignation(
             self.term, "n0", self.succession, self.reachability, rollout, self.leader.writer, self.client,
             self.leader.view,
@@ -53,14 +53,14 @@
 
     def heal(self) -> None:
         """Workers reach this leader again."""
-        self.reachability.cut = Directions()
+        self.reachability.cut = CutDirections()
 
     async def begin(self, nursery: trio.Nursery) -> None:
         """Wait for the minimum term, then let the leader consider resigning."""
         self.resignation.nursery = nursery
         await trio.sleep(MIN_TERM_S)
         self.term.renewed_at = self.term.known_at = now = trio.current_time()
-        self.succession.heard("n1", PeerReach(ZoneReach(20, 5, 8, 8), True, now))
+        self.succession.note_peer("n1", PeerReach(ZoneReach(20, 5, 8, 8), True, now))
         self.resignation.consider(now)
 
 
@@ -71,7 +71,7 @@
     async with trio.open_nursery() as nursery:
         await harness.begin(nursery)
     ((guards, puts),) = harness.written
-    assert guards == {EPOCH: harness.term.stamp, RESIGNATIONS: 0} and puts[RESIGNATIONS]["member"] == "n0"
+    assert guards == {EPOCH: harness.term.epoch_revision, RESIGNATIONS: 0} and puts[RESIGNATIONS]["member"] == "n0"
     assert harness.term.over.is_set() and harness.term.released
 
 
@@ -137,7 +137,7 @@
         harness.resignation.nursery = nursery
         await trio.sleep(MIN_TERM_S + harness.term.ttl)
         now = trio.current_time()
-        harness.succession.heard("n1", PeerReach(ZoneReach(20, 5, 8, 8), True, now))
+        harness.succession.note_peer("n1", PeerReach(ZoneReach(20, 5, 8, 8), True, now))
         harness.resignation.consider(now)
     assert not harness.written and not harness.term.resigning
 
--- a/ladderfield/leader/test_unheard.py
+++ b/ladderfield/leader/test_unheard.py
@@ -152,7 +152,7 @@
     job_key = {"lf/j/req-000001": (accepted(job(rungs=3)), 4)}
     harness = SchedulerHarness(job_key | pages)
     assert harness.scheduler.sweep(30.0) == []
-    harness.scheduler.earlier.none_left(EPOCH_NOW, 31.0)
+    harness.scheduler.earlier.confirm_none_left(EPOCH_NOW, 31.0)
     assert harness.scheduler.sweep(40.0) == [], "the earlier leader may have renewed their leases until then"
     assert sorted(harness.scheduler.sweep(41.0)) == ["a", "b", "c"], "no earlier leader answers them"
 
@@ -238,7 +238,7 @@
         for host in "abcde":
             harness.report(host, now=now)
         assert ("m" in harness.scheduler.sweep(now)) is False, "an earlier leader may still answer it"
-        harness.scheduler.earlier.none_left(EPOCH_NOW, 0.5)
+        harness.scheduler.earlier.confirm_none_left(EPOCH_NOW, 0.5)
         assert ("m" in harness.scheduler.sweep(now)) is to_delete
         harness.scheduler.earlier.until = 36.0
 
--- a/ladderfield/leader/writer.py
+++ b/ladderfield/leader/writer.py
@@ -58,7 +58,7 @@
                 outcome = await self.client.commit(txn.guards, txn.puts, txn.deletes, self.report_s)
                 for key in outcome.failed or []:
                     if key != EPOCH:
-                        revisions[key] = await self.client.stamp(key, self.report_s)
+                        revisions[key] = await self.client.revision_of(key, self.report_s)
                 break
             except WriteRefusedError as error:
                 log.error("epoch %d: the state service rejected a transaction permanently: %s", self.epoch, error)
--- a/ladderfield/server.py
+++ b/ladderfield/server.py
@@ -14,7 +14,7 @@
 from ladderfield.connectivity.links import Exchange
 from ladderfield.connectivity.options import ReachOptions
 from ladderfield.connectivity.prober import WorkerProber
-from ladderfield.connectivity.reachability import PeerStatus, Reachability, Side, takes_users
+from ladderfield.connectivity.reachability import LinkKind, PeerStatus, Reachability, serves_users
 from ladderfield.connectivity.succession import Succession
 from ladderfield.fleet.cloud import Cloud, CloudError
 from ladderfield.http import Reply, Request, Server
@@ -31,12 +31,12 @@
     CANCELLATION_NOTICE,
     CANCELLATION_QUERY,
     HEALTH,
+    HEALTH_BODY,
     REACH,
     RELAY,
-    SELF,
     BackServer,
     PeerLink,
-    back_most,
+    max_back_connections,
 )
 from ladderfield.rollout import Rollout
 from ladderfield.settings import Settings, address
@@ -66,16 +66,16 @@
         workers = settings.cluster.workers
         self.reachability = Reachability(workers.report_s, workers.lease_s, most_entries(settings))
         self.client.observe = lambda side, exchange: self.reachability.note(side, exchange, trio.current_time())
-        self.cloud.observe = lambda exchange: self.reachability.note(Side.CLOUD, exchange, trio.current_time())
+        self.cloud.observe = lambda exchange: self.reachability.note(LinkKind.CLOUD, exchange, trio.current_time())
         self.succession = None if reach_options is None else Succession(reach_options, workers.report_s)
         self.leadership = Leadership(
             settings, self.client, self.view, self.reachability.status, self._takes_users, self._stand_back_for
         )
-        at_once = max(4, back_most(settings.cluster.quota.max_connections) // max(1, len(settings.peers)))
+        at_once = max(4, max_back_connections(settings.cluster.quota.max_connections) // max(1, len(settings.peers)))
         self.links = {peer.member: PeerLink(peer, at_once) for peer in settings.peers}
         self.dependencies = DependencyGraph(self.view.get)
         self.cancellations = Cancellations(most_entries(settings))
-        self.view.followers += [self.dependencies.apply_change, self.cancellations.apply_change]
+        self.view.listeners += [self.dependencies.apply_change, self.cancellations.apply_change]
         self.rollout = Rollout(settings, self.client, self.view)
         self.jobs_api = JobsApi(
             settings, self.client, self.view, self.dependencies, self.rollout, self.cancellations,
@@ -87,7 +87,7 @@
             settings, self.leadership, self.view, self.reachability, self.links, self.succession
         )
         self.prober = WorkerProber(settings, self.view, self.reachability, reach_options is not None)
-        self.reports.on_leader_unreachable = lambda zone, host: self.reachability.workers.reported(
+        self.reports.on_leader_unreachable = lambda zone, host: self.reachability.workers.note_report(
             zone, host, trio.current_time()
         )
         self.authority_log = AuthorityLog()
@@ -96,14 +96,16 @@
     def _takes_users(self) -> bool:
         """Whether users should come here, by the last word of every other controller."""
         peers = (PeerStatus(link.reachable, link.state_ok) for link in self.links.values())
-        return takes_users(self.reachability.state_ok, peers)
+        return serves_users(self.reachability.state_ok, peers)
 
     def _stand_back_for(self, vacant_since: float) -> float:
         """How many seconds more to let others be elected first."""
         if self.succession is None:
             return 0.0
         now = trio.current_time()
-        return self.succession.stand_back_for(self.reachability.total(now), self.reachability.cut, vacant_since, now)
+        return self.succession.remaining_candidacy_delay_s(
+            self.reachability.total(now), self.reachability.cut, vacant_since, now
+        )
 
     async def handle(self, request: Request) -> Reply:
         """Any request to ``bind``."""
@@ -118,8 +120,8 @@
             return await self.reports.handle_relayed(body, status)
         if kind == HEALTH:
             leads = self.leadership.term is not None or self.reports.inbox is not None
-            epoch, leader = self.leadership.latest()
-            return (200 if self.reachability.state_ok else 503), SELF.pack(leads, epoch) + leader.encode()
+            epoch, leader = self.leadership.latest_known()
+            return (200 if self.reachability.state_ok else 503), HEALTH_BODY.pack(leads, epoch) + leader.encode()
         if kind == CANCELLATION_QUERY:
             return self.cancellation_sync.answer(body)
         if kind == CANCELLATION_NOTICE:
@@ -143,18 +145,18 @@
                 nursery.start_soon(self.reach_exchange.ask_all, pause)
                 self.reachability.state_ok = await self.view.fresh(pause)
             for link in self.links.values():
-                self.leadership.told(*link.knows)
+                self.leadership.learn_leader(*link.latest_known)
             if self.zone_options is not None:
                 self.reports.send_to_leader(ControllersChecked(self._reachable_zones()))
             if term is not None and not term.over.is_set():
                 if self.reachability.state_ok:
-                    term.knows(self.view.proven_at)
+                    term.note_known(self.view.proven_at)
                 else:
                     self.reports.send_to_leader(CancellationsLearned(*await self.cancellation_sync.ask(term, pause)))
             if (
                 term is not None
                 and term is self.leadership.term
-                and not any(link.leads for link in self.links.values())
+                and not any(link.may_lead for link in self.links.values())
             ):
                 # All were asked after our term began, so no earlier leader is left to keep leases alive.
                 self.reports.send_to_leader(NoOtherLeader())
@@ -164,9 +166,11 @@
     def _observe_reach(self, now: float) -> None:
         """Judge which links work, and say on the log what follows from it."""
         for member, link in self.links.items():
-            self.reachability.note(Side.PEER_OUT, Exchange.ANSWERED if link.reachable else Exchange.LOST, now, member)
-        if not self.reachability.workers.leads:  # a leader looks with each tick
-            self.reachability.look(now, self.settings.cluster.workers.report_s / 2)
+            self.reachability.note(
+                LinkKind.PEER_OUT, Exchange.ANSWERED if link.reachable else Exchange.LOST, now, member
+            )
+        if not self.reachability.workers.is_leader:  # a leader looks with each tick
+            self.reachability.judge_workers(now, self.settings.cluster.workers.report_s / 2)
             self.authority_log.observe(self.leadership.authority(), now)
 
     def _reachable_zones(self) -> dict[str, bool]:
@@ -205,7 +209,7 @@
     def _announce(self, inbox: trio.MemorySendChannel | None) -> None:
         self.reports.inbox = inbox
         if inbox is None:
-            self.reachability.workers.counted(None)
+            self.reachability.workers.set_leader_counts(None)
 
     async def run_types(self) -> None:
         """Put the machine types on record if nobody has yet: without them no job can be judged."""
@@ -269,7 +273,7 @@
     controller = Controller(settings, zone_options, reach_options)
     most = settings.cluster.quota.max_connections
     front = Server(controller.handle, int(most * USERS_SHARE), SUBMIT_TIMEOUT_S, IDLE_S)
-    back = BackServer(controller.handle_back, back_most(most), IDLE_S, SUBMIT_TIMEOUT_S)
+    back = BackServer(controller.handle_back, max_back_connections(most), IDLE_S, SUBMIT_TIMEOUT_S)
     log.info("controller %s starts in %s", settings.member, settings.location or "no zone")
     async with trio.open_nursery() as nursery:
         nursery.start_soon(_listen, settings.bind, front, most)
--- a/ladderfield/test_edges.py
+++ b/ladderfield/test_edges.py
@@ -13,7 +13,7 @@
 from ladderfield.budget import Budget
 from ladderfield.cli import main
 from ladderfield.http import Reply, Request, Server
-from ladderfield.peers import HEAD, MAGIC, RELAY, BackServer, FrameError, pack, unpack_head
+from ladderfield.peers import FRAME_HEADER, MAGIC, RELAY, BackServer, FrameError, pack, unpack_header
 from ladderfield.settings import load
 from ladderfield.testing import SETTINGS
 
@@ -83,12 +83,16 @@
 
 def test_frames_keep_their_form() -> None:
     frame = pack(RELAY, 1, b"body")
-    assert unpack_head(frame[: HEAD.size]) == (RELAY, 1, 4)
-    for bad in (HEAD.pack(b"xx", 1, RELAY, 0, 0), HEAD.pack(MAGIC, 9, RELAY, 0, 0), HEAD.pack(MAGIC, 1, 77, 0, 0)):
+    assert unpack_header(frame[: FRAME_HEADER.size]) == (RELAY, 1, 4)
+    for bad in (
+        FRAME_HEADER.pack(b"xx", 1, RELAY, 0, 0),
+        FRAME_HEADER.pack(MAGIC, 9, RELAY, 0, 0),
+        FRAME_HEADER.pack(MAGIC, 1, 77, 0, 0),
+    ):
         with pytest.raises(FrameError):
-            unpack_head(bad)
+            unpack_header(bad)
     with pytest.raises(FrameError):
-        unpack_head(HEAD.pack(MAGIC, 1, RELAY, 0, 1 << 30))
+        unpack_header(FRAME_HEADER.pack(MAGIC, 1, RELAY, 0, 1 << 30))
     with pytest.raises(FrameError):
         pack(RELAY, 0, b"x" * (1 << 17))
 
--- a/ladderfield/test_grace.py
+++ b/ladderfield/test_grace.py
@@ -14,10 +14,10 @@
 import pytest
 import trio
 
-from ladderfield.cancellation_sync import ANSWER, QUESTION, Answer, MalformedAnswerError, known_until
+from ladderfield.cancellation_sync import ANSWER, QUERY, Answer, MalformedAnswerError, known_until
 from ladderfield.connectivity.authority import Decision
 from ladderfield.peers import CANCELLATION_NOTICE, CANCELLATION_QUERY
-from ladderfield.rollout import CANCELLATION_SYNC, VERSION
+from ladderfield.rollout import CANCELLATION_SYNC, VERSION_PREFIX
 from ladderfield.term import Term, grace_s
 from ladderfield.testing import SETTINGS, settings
 from ladderfield.testing.cluster import Cluster, cluster, refuse, silent_peer
@@ -123,7 +123,7 @@
         first = whole.leader()
         other = next(n for n in whole.controllers if n != first)
         view = whole.controllers[first].view
-        view.data[f"{VERSION}n{other}"] = ({"level": CANCELLATION_SYNC - 1}, 1)
+        view.data[f"{VERSION_PREFIX}n{other}"] = ({"level": CANCELLATION_SYNC - 1}, 1)
         asked: list[int] = []
         link = whole.controllers[first].links[f"n{other}"]
         real = link.ask
@@ -244,10 +244,10 @@
 async def test_strange_questions_and_notices_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
     async with cluster(monkeypatch) as whole:
         one = whole.controllers[whole.leader()]
-        for body in (b"", b"x" * (QUESTION.size + 1), b"\xff" * 70):
+        for body in (b"", b"x" * (QUERY.size + 1), b"\xff" * 70):
             assert (await one.handle_back(CANCELLATION_QUERY, 0, body))[0] == 400
         for body in (b"req-1 \xff", b"lf/f/req-000001", b"req-"):
             assert (await one.handle_back(CANCELLATION_NOTICE, 0, body))[0] == 400
-        status, answered = await one.handle_back(CANCELLATION_QUERY, 0, QUESTION.pack(2**64 - 1, 2**64 - 1))
+        status, answered = await one.handle_back(CANCELLATION_QUERY, 0, QUERY.pack(2**64 - 1, 2**64 - 1))
         assert status == 200 and len(answered) == ANSWER.size
         assert whole.leader() in whole.controllers
--- a/ladderfield/test_job_lifecycle.py
+++ b/ladderfield/test_job_lifecycle.py
@@ -160,7 +160,7 @@
             async def wrong(*_: Any) -> None:
                 raise RuntimeError("a mistake")
 
-            monkeypatch.setattr(one.view, "_reached", wrong)
+            monkeypatch.setattr(one.view, "_advance", wrong)
             await trio.sleep(5)
             monkeypatch.undo()
             monkeypatch.setattr("ladderfield.http.connect", whole.net.connect)
--- a/ladderfield/test_versions.py
+++ b/ladderfield/test_versions.py
@@ -16,8 +16,8 @@
 from ladderfield.http import Request
 from ladderfield.jobs.model import JobSpec
 from ladderfield.leadership import Leadership
-from ladderfield.peers import HEALTH, RELAY, SELF, pack, unpack_head
-from ladderfield.rollout import VERSION
+from ladderfield.peers import HEALTH, HEALTH_BODY, RELAY, pack, unpack_header
+from ladderfield.rollout import VERSION_PREFIX
 from ladderfield.state import StateClient
 from ladderfield.testing import job, settings
 from ladderfield.testing.jobs_api import serving_jobs_api
@@ -85,10 +85,10 @@
         await service._multi({"guards": [], "apply": [{"put": "lf/epoch", "value": msgspec.json.decode(EPOCH_RECORD)}]})
         await trio.sleep(1)
         leadership = Leadership(settings(), client, view)
-        assert leadership.known_epoch() == 6 and set(leadership._earlier()) <= {"n1", "n2"}
-        kind, status, length = unpack_head(HEALTH_ANSWER[:10])
+        assert leadership.known_epoch() == 6 and set(leadership._earlier_leaders()) <= {"n1", "n2"}
+        kind, status, length = unpack_header(HEALTH_ANSWER[:10])
         body = HEALTH_ANSWER[10:]
-        assert (kind, status, length) == (3, 200, len(body)) and SELF.unpack_from(body) == (1, 6)
+        assert (kind, status, length) == (3, 200, len(body)) and HEALTH_BODY.unpack_from(body) == (1, 6)
         nursery.cancel_scope.cancel()
 
 
@@ -180,7 +180,7 @@
     elif key == "lf/foreman":
         assert isinstance(value["member"], str)
     else:
-        assert key.startswith(VERSION)
+        assert key.startswith(VERSION_PREFIX)
 
 
 def test_an_old_leader_takes_over_what_a_new_one_leaves() -> None:
--- a/ladderfield/test_wire_format.py
+++ b/ladderfield/test_wire_format.py
@@ -32,13 +32,13 @@
     CANCELLATION_NOTICE,
     CANCELLATION_QUERY,
     HEALTH,
+    HEALTH_BODY,
     REACH,
     RELAY,
-    SELF,
     PeerLink,
     pack,
 )
-from ladderfield.rollout import VERSION
+from ladderfield.rollout import VERSION_PREFIX
 from ladderfield.settings import Peer
 from ladderfield.state import StateClient
 from ladderfield.term import Term
@@ -96,12 +96,12 @@
 async def test_requests_to_the_state_service(requests: Callable[[Any], list[bytes]]) -> None:
     client = StateClient(settings())
     sent = requests({"ledger": 5, "pairs": [], "stamp": 3, "hold": 9, "events": []})
-    await client.ledger(1.0)
+    await client.read_revision(1.0)
     await client.page("", 1.0)
     await client.page("lf/j/req-000001", 1.0)
-    await client.stamp("lf/epoch", 1.0)
-    await client.grant(2.0, 1.0)
-    await client.touch(9, 1.0)
+    await client.revision_of("lf/epoch", 1.0)
+    await client.grant_lease(2.0, 1.0)
+    await client.renew_lease(9, 1.0)
     await client.watch(17, 10.0)
     await client.commit({"lf/epoch": 3}, {"lf/p/0": {"a": 1}}, ["lf/j/req-000001"], 1.0)
     await client.commit({}, {LEADER: {"member": "n0"}, EPOCH: {"epoch": 1}}, [], 1.0, 9, LEADER)
@@ -161,7 +161,7 @@
         api, service = await serving_jobs_api(monkeypatch, nursery)
         nursery.start_soon(api.submissions.rollout.run)
         for member in ("n1", "n2"):
-            await service._multi({"guards": [], "apply": [{"put": VERSION + member, "value": {"level": 2}}]})
+            await service._multi({"guards": [], "apply": [{"put": VERSION_PREFIX + member, "value": {"level": 2}}]})
         await trio.sleep(1)
         answers = await _answers(api, service)
         assert await Leadership(settings(), api.cancellations.client, api.lookup.view)._campaign() is not None
@@ -252,14 +252,14 @@
         "cancellation_notice": CANCELLATION_NOTICE,
     }
     samples = {name: pack(kind, 200, b"body") for name, kind in names.items()}
-    samples["self"] = SELF.pack(True, 6) + b"n1"
+    samples["self"] = HEALTH_BODY.pack(True, 6) + b"n1"
     samples["reach"] = pack(REACH, 0, ReachMessage("n1", 6, True, ZoneReach(20, 5, 8, 7)).pack())
     own = settings()
     client = StateClient(own)
     view = View(client, own)
-    view.data = {f"{VERSION}{member}": ({"level": 2}, 1) for member in ("n1", "n2")}
+    view.data = {f"{VERSION_PREFIX}{member}": ({"level": 2}, 1) for member in ("n1", "n2")}
     view.data |= {LEADER: ({"member": "n1"}, 2), EPOCH: ({"epoch": 6}, 3)}
-    view.synced, view.ledger, view.proven_at = True, 17, trio.current_time()
+    view.synced, view.revision, view.proven_at = True, 17, trio.current_time()
     cancellations, link = Cancellations(100), PeerLink(Peer("n1", "10.0.0.2:81"))
     sync = CancellationSync(Leadership(own, client, view), view, cancellations, {"n1": link})
 
--- a/ladderfield/testing/jobs_api.py
+++ b/ladderfield/testing/jobs_api.py
@@ -27,7 +27,7 @@
     nursery.start_soon(view.run)
     nursery.start_soon(view.run_reads)
     dependencies, rollout = DependencyGraph(view.get), Rollout(settings(), client, view)
-    view.followers.append(dependencies.apply_change)
+    view.listeners.append(dependencies.apply_change)
     api = JobsApi(settings(), client, view, dependencies, rollout, Cancellations(100))
     nursery.start_soon(api.submissions.acceptor.run)
     await trio.sleep(0.1)
--- a/ladderfield/testing/link_cuts.py
+++ b/ladderfield/testing/link_cuts.py
@@ -38,7 +38,7 @@
 ASK_EVERY_S = 1.7
 OTHERS = ("killed", "held")
 OTHER_AWAY_S = 0.7 * LEASE_S  # a killed one is back then, and a held one goes on
-BY_REACH = ReachOptions(minimum_tenure_s=LEASE_S, stand_back_s=2 * REPORT_S)
+BY_REACH = ReachOptions(minimum_term_s=LEASE_S, candidacy_delay_s=2 * REPORT_S)
 
 
 @dataclass(frozen=True)
--- a/ladderfield/testing/scripted_fleet.py
+++ b/ladderfield/testing/scripted_fleet.py
@@ -118,7 +118,7 @@
             scheduler.zones.record.wall_offset = 1000.0
         scheduler.load(dict(self.records), self.now)
         scheduler.term_from = self.now
-        scheduler.earlier.none_left(self.epoch, self.now)
+        scheduler.earlier.confirm_none_left(self.epoch, self.now)
         return self.leader
 
     def submit(self, uid: str, **changes: Any) -> None:
@@ -126,7 +126,7 @@
         self.stamp += 1
         self.specs[uid] = job(uid, **{"owner": "blue", "loaners": False} | changes)
         change = Change(f"lf/j/{uid}", accepted(self.specs[uid], at=1000.0 + self.now), self.stamp)
-        self.records[change.key] = (change.value, change.stamp)
+        self.records[change.key] = (change.value, change.revision)
         self.leader.scheduler.take_changes([change], self.now)
 
     def cut(self, *zones: str) -> None:
@@ -166,7 +166,7 @@
         until = self.now + seconds
         while self.now < until:
             self.now += ROUND_S
-            self.leader.term.knows(self.now)  # the state service proves the view fresh all the time
+            self.leader.term.note_known(self.now)  # the state service proves the view fresh all the time
             for worker in self.workers:
                 worker.progress(self.now, self.run_s, self._endless)
             self.report_all()
