--- a/ladderfield/connectivity/earlier_leaders.py
+++ b/ladderfield/connectivity/earlier_leaders.py
@@ -1,4 +1,4 @@
-"""Leaders before this one that may still answer workers' reports."""
+"""Earlier leaders that may still answer workers' reports."""
 
 from __future__ import annotations
 
@@ -11,20 +11,26 @@
 
 
 class EarlierLeaders:
-    """Until when any of them may answer, and in which zones they stood. Times on the leader's steady clock."""
+    """Until when any earlier leader may answer, and in which zones they run. Times on the leader's steady clock."""
 
     def __init__(self, until: float, zones: Mapping[str, float] | None = None) -> None:
         self.until = until
-        self.zones = dict(zones or {})  # zone -> until when a leader that stood there may answer
+        self.zones = dict(zones or {})  # zone -> until when a leader that ran there may answer
 
     @classmethod
-    def of(cls, until: float, before: Mapping[str, float], peers: Iterable[Peer], wall_offset: float) -> EarlierLeaders:
-        """From the epoch's record, whose times are of day."""
-        zones = {peer.location: before[peer.member] - wall_offset for peer in peers if peer.member in before}
+    def from_record(
+        cls, until: float, earlier_leaders: Mapping[str, float], peers: Iterable[Peer], wall_offset: float
+    ) -> EarlierLeaders:
+        """Read from the epoch's record, whose times are times of day."""
+        zones = {
+            peer.location: earlier_leaders[peer.member] - wall_offset
+            for peer in peers
+            if peer.member in earlier_leaders
+        }
         return cls(until, zones)
 
-    def none_left(self, epoch: int, now: float) -> None:
-        """All other controllers have said, since our term began, that they are not leader: no one else answers."""
+    def confirm_none_left(self, epoch: int, now: float) -> None:
+        """All other controllers have said, since this term began, that they are not leader: no other answers."""
         if now < self.until:
-            log.info("epoch %d: no earlier leader is left", epoch)
+            log.info("epoch %d: no earlier leader answers reports any more", epoch)
             self.until = now
--- a/ladderfield/connectivity/exchange.py
+++ b/ladderfield/connectivity/exchange.py
@@ -1,4 +1,4 @@
-"""Tells the other controllers of our reach, and learns of theirs, over ``back``."""
+"""Sends this controller's reach to the other controllers over ``back``, and receives theirs."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from ladderfield.connectivity.links import Exchange
 from ladderfield.connectivity.reach_message import ReachMessage, ReachMessageError, StaleReachError, check, parse
-from ladderfield.connectivity.reachability import Reachability, Side
+from ladderfield.connectivity.reachability import LinkKind, Reachability
 from ladderfield.connectivity.succession import PeerReach, Succession
 from ladderfield.leadership import Leadership
 from ladderfield.peers import REACH, PeerLink
@@ -19,11 +19,11 @@
 
 log = logging.getLogger(__name__)
 
-SILENT = 2.0  # of report_s: a peer that used to ask us and has not for so long can't reach us
+SILENT_PEER_REPORT_INTERVALS = 2.0  # a peer whose requests have stopped for longer can't reach us
 
 
 class ReachExchange:
-    """Asks and answers. Without a ``succession`` (the feature is off) it only answers."""
+    """Sends and answers reach messages. Without a ``succession`` (the feature is off) it only answers."""
 
     def __init__(
         self,
@@ -36,39 +36,41 @@
     ) -> None:
         self.settings, self.leadership, self.view = settings, leadership, view
         self.reachability, self.links, self.succession = reachability, links, succession
-        self.refused = 0  # messages that could not be taken
-        self._logged: set[type[ReachMessageError]] = set()  # kinds of refusals that were told
-        self._heard_at: dict[str, float] = {}
+        self.refused = 0  # messages that were rejected
+        self._logged_kinds: set[type[ReachMessageError]] = set()  # kinds of rejections that were logged
+        self._last_request_at: dict[str, float] = {}
 
     def message(self, now: float) -> ReachMessage:
-        """Our own reach, of the machines that others can know too: a leader knows idle ones as well.
+        """This controller's reach, over machines that the others can know too: a leader also knows idle ones.
 
-        What reports to a leader has not come back from one: a leader that another has followed, and that does not know
-        it yet, would make its successor believe that no worker can reach it.
+        A leader counts no worker as reporting, since none fell back to it from another leader. Otherwise a leader that
+        has been superseded without knowing it would make its successor believe that workers can't reach the successor.
         """
         reachability, reach = self.reachability, self.reachability.total(now)
         known = min(reach.known, reachability.workers.on_record)
-        reach = reach._replace(known=known, heard=0 if reachability.workers.leads else min(reach.heard, known))
-        return ReachMessage(self.settings.member, self.leadership.latest()[0], reachability.state_ok, reach)
+        reach = reach._replace(
+            known=known, reporting=0 if reachability.workers.is_leader else min(reach.reporting, known)
+        )
+        return ReachMessage(self.settings.member, self.leadership.latest_known()[0], reachability.state_ok, reach)
 
     def answer(self, body: bytes) -> tuple[int, bytes]:
-        """The answer to a peer that tells its reach: ours."""
+        """The answer to a peer's reach message: our own."""
         now = trio.current_time()
-        member = self._take(body, now)
+        member = self._accept(body, now)
         if member is None:
             return 400, b""
-        self._heard_at[member] = now
-        self.reachability.note(Side.PEER_IN, Exchange.ANSWERED, now, member)
+        self._last_request_at[member] = now
+        self.reachability.note(LinkKind.PEER_IN, Exchange.ANSWERED, now, member)
         return 200, self.message(now).pack()
 
     async def ask_all(self, timeout: float) -> None:
-        """Tell every controller whose program takes it, and take in what they answer. Within ``timeout`` seconds."""
+        """Exchange messages with every controller whose version understands them, within ``timeout`` seconds."""
         if self.succession is None:
             return
         now = trio.current_time()
-        for member, heard_at in self._heard_at.items():
-            if now - heard_at > SILENT * self.settings.cluster.workers.report_s:
-                self.reachability.note(Side.PEER_IN, Exchange.LOST, now, member)
+        for member, last_request_at in self._last_request_at.items():
+            if now - last_request_at > SILENT_PEER_REPORT_INTERVALS * self.settings.cluster.workers.report_s:
+                self.reachability.note(LinkKind.PEER_IN, Exchange.LOST, now, member)
         body = self.message(now).pack()
         async with trio.open_nursery() as nursery:
             for member, link in self.links.items():
@@ -78,21 +80,21 @@
     async def _ask(self, link: PeerLink, body: bytes, timeout: float) -> None:
         reply = await link.ask(REACH, body, timeout)
         if reply is not None and reply.status == 200:
-            self._take(reply.body, trio.current_time())
+            self._accept(reply.body, trio.current_time())
 
-    def _take(self, body: bytes, now: float) -> str | None:
-        """Take a message in; its sender, or None if it is refused."""
+    def _accept(self, body: bytes, now: float) -> str | None:
+        """Check and store a message; its sender, or None if it is rejected."""
         try:
             message = parse(body)
-            epoch, known = self.leadership.latest()[0], self.reachability.total(now).known
+            epoch, known = self.leadership.latest_known()[0], self.reachability.total(now).known
             check(message, self.links, len(self.settings.cluster.zones), epoch, known)
         except ReachMessageError as error:
             self.refused += 1
-            if type(error) not in self._logged:
-                self._logged.add(type(error))
+            if type(error) not in self._logged_kinds:
+                self._logged_kinds.add(type(error))
                 level = logging.INFO if isinstance(error, StaleReachError) else logging.WARNING
-                log.log(level, "a message of a controller's reach is refused: %s", error)
+                log.log(level, "rejected a reach message: %s", error)
             return None
         if self.succession is not None:
-            self.succession.heard(message.member, PeerReach(message.reach, message.state_ok, now))
+            self.succession.note_peer(message.member, PeerReach(message.reach, message.state_ok, now))
         return message.member
--- a/ladderfield/connectivity/resignations.py
+++ b/ladderfield/connectivity/resignations.py
@@ -1,6 +1,6 @@
-"""When leaders resigned lately, on record: a hint that outlives a change of leader, so that office doesn't go round.
+"""The record of recent resignations, which outlives a change of leader and keeps leadership from changing too often.
 
-It only makes a leader stay longer. Malformed or out of date it is ignored; versions before this one pass over its key.
+It only makes a leader stay longer. A malformed or outdated record is ignored; earlier versions ignore its key.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 log = logging.getLogger(__name__)
 
 RESIGNATIONS = "lf/resignations"
-FORGET_AFTER = 10.0  # of lease_s without one: then the count begins anew
-DOUBLINGS_MOST = 3  # of the pause between two resignations
+RESET_AFTER_LEASES = 10.0  # without a resignation: then the count begins anew
+MAX_DOUBLINGS = 3  # of the pause between two resignations
 
 
 class ResignationValue(msgspec.Struct, frozen=True):
-    """The record: who resigned last, when (time of day), and how many did with no long pause between."""
+    """The record: who resigned last, at what time of day, and how many did without a long pause between."""
 
     member: str
     at: float
@@ -33,7 +33,7 @@
         self._warned = False
 
     def read(self, value: Any, wall: float) -> ResignationValue | None:
-        """The last resignation, with a time that is not in the future; None if there is nothing to go by."""
+        """The last resignation, with a time that is not in the future; None if there is no usable record."""
         if value is None:
             return None
         try:
@@ -41,22 +41,22 @@
         except msgspec.ValidationError as error:
             if not self._warned:
                 self._warned = True
-                log.warning("the record of resignations is ignored: %s", error)
+                log.warning("ignoring the record of resignations: %s", error)
             return None
         last = msgspec.structs.replace(last, at=min(last.at, wall))
-        return None if wall - last.at > FORGET_AFTER * self.lease_s else last
+        return None if wall - last.at > RESET_AFTER_LEASES * self.lease_s else last
 
     def not_before(self, value: Any, wall: float) -> float:
         """The time of day before which nobody should resign: one lease after the last, doubled with each."""
         last = self.read(value, wall)
         if last is None:
             return 0.0
-        pause = self.lease_s * float(2 ** min(last.count - 1, DOUBLINGS_MOST))
+        pause = self.lease_s * float(2 ** min(last.count - 1, MAX_DOUBLINGS))
         return last.at + pause
 
     def next(self, value: Any, member: str, wall: float) -> dict[str, Any]:
-        """The record after one more."""
+        """The record after one more resignation."""
         last = self.read(value, wall)
-        count = 1 if last is None else min(last.count + 1, DOUBLINGS_MOST + 1)
+        count = 1 if last is None else min(last.count + 1, MAX_DOUBLINGS + 1)
         resignation = ResignationValue(member, round(wall, 3), count)
         return dict(msgspec.to_builtins(resignation))
--- a/ladderfield/connectivity/succession.py
+++ b/ladderfield/connectivity/succession.py
@@ -1,7 +1,7 @@
-"""Whether a leader should make way for a controller that reaches more workers, and who lets whom go first.
+"""Whether a leader should resign for a controller that reaches more workers, and which candidate lets others go first.
 
-No clock and no I/O. Nothing here gives anybody a right: leadership stays with whoever holds the lease, and a candidate
-only waits, for a bounded time. If nobody has better reach, or nobody is known to, all is as without it.
+No clock and no I/O. Nothing here gives a controller any right: leadership stays with the holder of the lease, and a
+candidate only waits, for a bounded time. If no controller is known to have better reach, nothing changes.
 """
 
 from __future__ import annotations
@@ -11,69 +11,71 @@
 from typing import NamedTuple
 
 from ladderfield.connectivity.options import ReachOptions
-from ladderfield.connectivity.worker_reach import FEW_SHARE, LEAST, Directions, ZoneReach
+from ladderfield.connectivity.worker_reach import CUT_SHARE, MIN_SAMPLES, CutDirections, ZoneReach
 
-MOST_SHARE = 0.75  # of a peer's exchanges with workers: it reaches them
-TIMES_MORE = 4  # as many machines that report there as here
-WORD_S = 2.0  # of report_s: how long a peer's word counts
+MIN_ANSWERED_SHARE = 0.75  # of a peer's exchanges with workers: then it reaches them
+MIN_REPORTING_FACTOR = 4  # times as many machines report to the peer as here
+PEER_REACH_REPORT_INTERVALS = 2.0  # how long what a peer sent counts
 
 
 class PeerReach(NamedTuple):
-    """What a peer said of its reach, and when that came."""
+    """What a peer last sent of its reach, and when it arrived."""
 
     reach: ZoneReach
     state_ok: bool
     at: float
 
 
-def clearly_more(own: ZoneReach, cut: Directions, peer: PeerReach) -> bool:
-    """Whether a peer that the state service serves reaches clearly more workers than we do."""
+def reaches_clearly_more(own: ZoneReach, cut: CutDirections, peer: PeerReach) -> bool:
+    """Whether a peer that the state service serves reaches clearly more workers than this controller."""
     reach = peer.reach
-    if not peer.state_ok or reach.asked < LEAST or reach.answered < MOST_SHARE * reach.asked:
+    if not peer.state_ok or reach.requests < MIN_SAMPLES or reach.answered < MIN_ANSWERED_SHARE * reach.requests:
         return False
-    if cut.outward or (own.asked >= LEAST and own.answered <= FEW_SHARE * own.asked):
+    if cut.outbound or (own.requests >= MIN_SAMPLES and own.answered <= CUT_SHARE * own.requests):
         return True
-    # Our orders go out, only reports don't come in. That others' questions are answered says nothing then.
-    return cut.inward and reach.heard >= max(LEAST, TIMES_MORE * own.heard)
+    # Our orders arrive, only reports to us don't: that a peer's requests are answered proves nothing then.
+    return cut.inbound and reach.reporting >= max(MIN_SAMPLES, MIN_REPORTING_FACTOR * own.reporting)
 
 
 class Succession:
-    """Decides on resignations and on standing back for one controller."""
+    """Decides on resignation, and on delaying a candidacy, for one controller."""
 
     def __init__(self, options: ReachOptions, report_s: float) -> None:
         self.options, self.report_s = options, report_s
         self.peers: dict[str, PeerReach] = {}
         self.resigned_at = -math.inf
 
-    def heard(self, member: str, word: PeerReach) -> None:
-        """A peer has told its reach."""
-        self.peers[member] = word
+    def note_peer(self, member: str, peer_reach: PeerReach) -> None:
+        """Record what a peer has sent of its reach."""
+        self.peers[member] = peer_reach
 
-    def better_peer(self, own: ZoneReach, cut: Directions, now: float) -> str | None:
+    def better_peer(self, own: ZoneReach, cut: CutDirections, now: float) -> str | None:
         """A peer that is known to reach clearly more workers."""
-        fresh = _fresh(self.peers, now, WORD_S * self.report_s)
-        better = [member for member, word in fresh.items() if clearly_more(own, cut, word)]
-        return max(better, key=lambda member: (fresh[member].reach.heard, member), default=None)
-
-    def came_back(self, now: float) -> int:
-        """How many workers other controllers say can't reach the leader."""
-        fresh = _fresh(self.peers, now, WORD_S * self.report_s)
-        return sum(word.reach.heard for word in fresh.values())
-
-    def should_resign(self, own: ZoneReach, cut: Directions, term_from: float, now: float) -> str | None:
-        """For whom a leader should make way: only one that workers can't reach, and not before its minimum tenure."""
-        if not cut.inward or now - term_from < self.options.minimum_tenure_s:
+        recent = _recent(self.peers, now, PEER_REACH_REPORT_INTERVALS * self.report_s)
+        better = [member for member, peer_reach in recent.items() if reaches_clearly_more(own, cut, peer_reach)]
+        return max(better, key=lambda member: (recent[member].reach.reporting, member), default=None)
+
+    def reporting_elsewhere(self, now: float) -> int:
+        """How many workers can't reach the leader, as other controllers report."""
+        recent = _recent(self.peers, now, PEER_REACH_REPORT_INTERVALS * self.report_s)
+        return sum(peer_reach.reach.reporting for peer_reach in recent.values())
+
+    def should_resign(self, own: ZoneReach, cut: CutDirections, term_from: float, now: float) -> str | None:
+        """The peer for which a leader that workers can't reach should resign, once its minimum term is over."""
+        if not cut.inbound or now - term_from < self.options.minimum_term_s:
             return None
         return self.better_peer(own, cut, now)
 
-    def stand_back_for(self, own: ZoneReach, cut: Directions, vacant_since: float, now: float) -> float:
-        """How many seconds more a candidate lets others go first; 0 or less: it stands."""
-        resigned = self.resigned_at >= vacant_since - self.options.stand_back_s
-        unable = cut.inward or cut.outward
-        if not resigned and not (unable and self.better_peer(own, cut, now) is not None):
+    def remaining_candidacy_delay_s(
+        self, own: ZoneReach, cut: CutDirections, no_leader_since: float, now: float
+    ) -> float:
+        """How many seconds more a candidate lets others go first; 0 or less: it stands for election."""
+        resigned = self.resigned_at >= no_leader_since - self.options.candidacy_delay_s
+        cut_off = cut.inbound or cut.outbound
+        if not resigned and not (cut_off and self.better_peer(own, cut, now) is not None):
             return 0.0
-        return vacant_since + self.options.stand_back_s - now
+        return no_leader_since + self.options.candidacy_delay_s - now
 
 
-def _fresh(peers: Mapping[str, PeerReach], now: float, for_s: float) -> dict[str, PeerReach]:
-    return {member: word for member, word in peers.items() if now - word.at <= for_s}
+def _recent(peers: Mapping[str, PeerReach], now: float, for_s: float) -> dict[str, PeerReach]:
+    return {member: peer_reach for member, peer_reach in peers.items() if now - peer_reach.at <= for_s}
--- a/ladderfield/connectivity/test_handover.py
+++ b/ladderfield/connectivity/test_handover.py
@@ -1,4 +1,4 @@
-"""A leader without workers hands over; at each step the cut heals and breaks again, or another controller fails."""
+"""A leader that workers can't reach hands over; at each step the cut heals and returns, or another controller fails."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from ladderfield.leader.resignation import Resignation
 from ladderfield.leader.writer import Writer
 from ladderfield.peers import REACH
-from ladderfield.rollout import REACH_EXCHANGE, VERSION
+from ladderfield.rollout import REACH_EXCHANGE, VERSION_PREFIX
 from ladderfield.state import StateClient
 from ladderfield.testing.cluster import Cluster, cluster
 from ladderfield.testing.history import faults
@@ -35,35 +35,35 @@
 )
 from ladderfield.testing.network import Link
 
-Trouble = Callable[[Cluster, int], Awaitable[None]]
+Disturbance = Callable[[Cluster, int], Awaitable[None]]
 CUT_S, SETTLE_S = 3 * LEASE_S, 40.0
-HEALED_S, MOMENT_S, HELD_S = 0.5 * REPORT_S, 0.4, 0.5 * LEASE_S
-REPLICAS = 4  # a machine each: fewer machines are not judged
+HEALED_S, RESTART_S, HELD_S = 0.5 * REPORT_S, 0.4, 0.5 * LEASE_S
+REPLICAS = 4  # on one machine each; reach is not judged over fewer machines
 
 
-async def heal_and_break(whole: Cluster, first: int) -> None:
-    """The cut heals for a moment."""
+async def heal_and_cut_again(whole: Cluster, first: int) -> None:
+    """The cut heals for a short time."""
     whole.net.mend(without_workers(first))
     await trio.sleep(HEALED_S)
     whole.net.silent.update(without_workers(first))
 
 
-async def another_fails(how: str, away_s: float, whole: Cluster, first: int) -> None:
-    """The controller that is leader now, or would be next."""
-    holders = [number for number, one in whole.controllers.items() if one.leadership.term is not None]
-    others = [number for number in holders if number != first]
-    await fail(whole, others[0] if others else (first + 1) % CONTROLLERS, how, away_s)
+async def another_fails(how: str, down_s: float, whole: Cluster, first: int) -> None:
+    """The current leader fails, or the controller that would be next."""
+    leaders = [number for number, controller in whole.controllers.items() if controller.leadership.term is not None]
+    successors = [number for number in leaders if number != first]
+    await fail(whole, successors[0] if successors else (first + 1) % CONTROLLERS, how, down_s)
 
 
-TROUBLES: dict[str, Trouble] = {
-    "heals and breaks": heal_and_break,
+DISTURBANCES: dict[str, Disturbance] = {
+    "heals and is cut again": heal_and_cut_again,
     "another is killed": partial(another_fails, "killed", LEASE_S),
     "another is held": partial(another_fails, "held", HELD_S),
-    "another is back within a second": partial(another_fails, "killed", MOMENT_S),
+    "another is back within a second": partial(another_fails, "killed", RESTART_S),
 }
 STEPS: dict[str, tuple[type, str]] = {
     "before the resignation": (Resignation, "_wait_for_write"),
-    "between release and the next grant": (StateClient, "release"),
+    "between release and the next grant": (StateClient, "release_lease"),
     "while the successor reads": (Leader, "run"),
     "before it has pushed its epoch": (Dispatcher, "_push"),
     "at its first claim": (Writer, "_write"),
@@ -71,7 +71,7 @@
 
 
 def at_step(monkeypatch: pytest.MonkeyPatch, step: str, epoch: Callable[[], int], act: Callable[[], None]) -> None:
-    """Call ``act`` once, as a step of the handover begins; a successor's steps only once the epoch is another."""
+    """Call ``act`` once, as a step of the handover begins; a successor's steps count only under a later epoch."""
     kind, method = STEPS[step]
     real, before = getattr(kind, method), epoch()
     done: list[bool] = []
@@ -91,8 +91,8 @@
     return int(whole.state.keys["lf/epoch"][0]["epoch"])
 
 
-async def settled(whole: Cluster, users: Users) -> tuple[str, int]:
-    """A service and an array run under a leader that is old enough to resign; the service, and the leader."""
+async def run_service(whole: Cluster, users: Users) -> tuple[str, int]:
+    """Run a service and an array until the leader is old enough to resign; the service's id and the leader."""
     whole.run_s = 6.0
     service = await users.submit(shape="daemon", rungs=REPLICAS, cores=4.0, owner="blue")
     await users.submit(rungs=4, owner="blue")
@@ -100,23 +100,23 @@
     return service, whole.leader()
 
 
-def wrong(whole: Cluster, users: Users) -> list[Any]:
+def violations(whole: Cluster, users: Users) -> list[Any]:
     return list(faults(runs(whole.cloud.workers.values()), users.told, CANCEL_S, LATE_START_S))
 
 
-@pytest.mark.parametrize("trouble", TROUBLES)
+@pytest.mark.parametrize("disturbance", DISTURBANCES)
 @pytest.mark.parametrize("step", STEPS)
-async def test_a_handover_that_is_disturbed_breaks_no_rule(
-    monkeypatch: pytest.MonkeyPatch, step: str, trouble: str
+async def test_a_disturbed_handover_breaks_no_rule(
+    monkeypatch: pytest.MonkeyPatch, step: str, disturbance: str
 ) -> None:
     async with cluster(monkeypatch, reach_options=BY_REACH) as whole, trio.open_nursery() as nursery:
         users = Users(whole)
-        service, first = await settled(whole, users)
+        service, first = await run_service(whole, users)
         disturbed = trio.Event()
 
         def act() -> None:
             disturbed.set()
-            nursery.start_soon(TROUBLES[trouble], whole, first)
+            nursery.start_soon(DISTURBANCES[disturbance], whole, first)
 
         at_step(monkeypatch, step, lambda: recorded_epoch(whole), act)
         nursery.start_soon(users.look)
@@ -127,17 +127,19 @@
         await trio.sleep(CUT_S / 2)
         whole.net.mend(without_workers(first))
         await trio.sleep(SETTLE_S)
-        assert disturbed.is_set(), "the step was never taken"
-        assert wrong(whole, users) == []
+        assert disturbed.is_set(), "the step was never reached"
+        assert violations(whole, users) == []
         assert [await whole.phase(0, uid) for uid in arrays] == ["done"] * len(arrays)
         assert len([name for name in whole.on() if name.startswith(service)]) == REPLICAS
         nursery.cancel_scope.cancel()
 
 
-async def test_a_leader_that_no_worker_reaches_makes_way_and_services_run_on(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_leader_that_no_worker_reaches_resigns_and_services_keep_running(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async with cluster(monkeypatch, reach_options=BY_REACH) as whole:
         users = Users(whole)
-        service, first = await settled(whole, users)
+        service, first = await run_service(whole, users)
         epoch = recorded_epoch(whole)
         whole.net.silent.update(without_workers(first))
         await trio.sleep(LEASE_S)
@@ -147,14 +149,16 @@
         await whole.until(whole.leader(), uid, "done", LEASE_S)
         await trio.sleep(CUT_S)
         assert len(whole.starts(service)) == REPLICAS, "no replica was interrupted"
-        assert recorded_epoch(whole) == epoch + 1, "and the office stays where it is"
-        assert wrong(whole, users) == []
+        assert recorded_epoch(whole) == epoch + 1, "and the leader stays"
+        assert violations(whole, users) == []
 
 
-async def test_who_resigned_lets_others_go_first_and_stands_if_nobody_does(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its first election is long ago: the vacancy that counts is the one that it made."""
+async def test_a_resigned_leader_lets_others_go_first_and_stands_if_nobody_does(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """It waits from the vacancy that its resignation made, though it was first elected long before."""
     async with cluster(monkeypatch, reach_options=BY_REACH) as whole:
-        _, first = await settled(whole, Users(whole))
+        _, first = await run_service(whole, Users(whole))
         epoch, released = recorded_epoch(whole), trio.Event()
         others = {Link(address(number), STATE) for number in range(CONTROLLERS) if number != first}
 
@@ -165,26 +169,26 @@
         at_step(monkeypatch, "between release and the next grant", lambda: epoch - 1, keep_others_out)
         whole.net.silent.update(without_workers(first))
         await released.wait()
-        await trio.sleep(0.75 * BY_REACH.stand_back_s)
+        await trio.sleep(0.75 * BY_REACH.candidacy_delay_s)
         assert recorded_epoch(whole) == epoch
-        await trio.sleep(BY_REACH.stand_back_s)
-        assert recorded_epoch(whole) == epoch + 1 and whole.leader() == first, "an office is never vacant for long"
+        await trio.sleep(BY_REACH.candidacy_delay_s)
+        assert recorded_epoch(whole) == epoch + 1 and whole.leader() == first, "there is never no leader for long"
 
 
-async def test_leadership_stays_where_nobody_reaches_more_workers(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_leader_stays_if_no_controller_reaches_more_workers(monkeypatch: pytest.MonkeyPatch) -> None:
     async with cluster(monkeypatch, reach_options=BY_REACH) as whole:
-        _, first = await settled(whole, Users(whole))
+        _, first = await run_service(whole, Users(whole))
         for number in range(CONTROLLERS):
             whole.net.silent.update(without_workers(number))
         await trio.sleep(2 * LEASE_S)
         assert whole.leader() == first
 
 
-async def test_a_fleet_that_is_gone_is_no_cut_controller(monkeypatch: pytest.MonkeyPatch) -> None:
-    """All machines die at once: nobody has better reach, the leader stays, and other machines do the work."""
+async def test_a_lost_fleet_does_not_look_like_a_cut_controller(monkeypatch: pytest.MonkeyPatch) -> None:
+    """All machines die at once: no controller has better reach, the leader stays, and new machines do the work."""
     async with cluster(monkeypatch, reach_options=BY_REACH) as whole:
         users = Users(whole)
-        service, first = await settled(whole, users)
+        service, first = await run_service(whole, users)
         for worker in whole.cloud.workers.values():
             worker.dead = True
             worker.lose_all()
@@ -193,11 +197,11 @@
         assert len([name for name in whole.on() if name.startswith(service)]) == REPLICAS
 
 
-async def test_office_does_not_go_round_when_every_leader_loses_its_workers(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Whoever is leader is cut off a moment later: resignations come ever more seldom."""
+async def test_leadership_changes_seldom_when_every_leader_loses_its_workers(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Each leader is cut off soon after its election: the pauses between resignations grow."""
     async with cluster(monkeypatch, reach_options=BY_REACH) as whole:
         users = Users(whole)
-        service, _ = await settled(whole, users)
+        service, _ = await run_service(whole, users)
         epochs = [recorded_epoch(whole)]
         until = trio.current_time() + 12 * LEASE_S
         while trio.current_time() < until:
@@ -208,59 +212,61 @@
         assert 2 <= epochs[-1] - epochs[0] <= 4, "after one lease, then two, then four"
         whole.net.mend()
         await trio.sleep(SETTLE_S)
-        assert wrong(whole, users) == []
+        assert violations(whole, users) == []
         assert len([name for name in whole.on() if name.startswith(service)]) == REPLICAS
 
 
-async def test_nobody_resigns_while_one_controller_is_of_an_older_version(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It would close the connection on a frame of reach, and could be elected without the record of resignations."""
+async def test_no_leader_resigns_while_a_controller_runs_an_older_version(monkeypatch: pytest.MonkeyPatch) -> None:
+    """An older version closes the connection on a reach message and, once elected, ignores earlier resignations."""
     async with cluster(monkeypatch, reach_options=BY_REACH) as whole:
-        _, first = await settled(whole, Users(whole))
+        _, first = await run_service(whole, Users(whole))
         old = f"n{(first + 1) % CONTROLLERS}"
-        asked: list[int] = []
-        for number, one in whole.controllers.items():
+        sent_kinds: list[int] = []
+        for number, controller in whole.controllers.items():
             if f"n{number}" == old:
-                continue  # it would say anew what it understands
-            one.rollout._everywhere = REACH_EXCHANGE - 1
-            one.view.data[VERSION + old] = ({"level": REACH_EXCHANGE - 1}, 1)
-            monkeypatch.setattr(one.links[old], "ask", noting(asked, one.links[old].ask))
+                continue  # it would record its level again
+            controller.rollout._common_level = REACH_EXCHANGE - 1
+            controller.view.data[VERSION_PREFIX + old] = ({"level": REACH_EXCHANGE - 1}, 1)
+            monkeypatch.setattr(controller.links[old], "ask", recording(sent_kinds, controller.links[old].ask))
         whole.net.silent.update(without_workers(first))
         await trio.sleep(CUT_S)
-        assert whole.leader() == first and REACH not in asked
+        assert whole.leader() == first and REACH not in sent_kinds
 
 
-def noting(asked: list[int], real: Callable[..., Awaitable[Any]]) -> Callable[..., Awaitable[Any]]:
-    """The same question, noted."""
+def recording(sent_kinds: list[int], real: Callable[..., Awaitable[Any]]) -> Callable[..., Awaitable[Any]]:
+    """The same request, with its kind recorded."""
 
     async def ask(kind: int, *rest: Any) -> Any:
-        asked.append(kind)
+        sent_kinds.append(kind)
         return await real(kind, *rest)
 
     return ask
 
 
-async def test_strange_messages_of_reach_are_refused_counted_and_end_no_actor(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_malformed_reach_messages_are_rejected_and_counted_and_end_no_actor(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async with cluster(monkeypatch, reach_options=BY_REACH) as whole:
-        one = whole.controllers[whole.leader()]
+        controller = whole.controllers[whole.leader()]
         for number, body in enumerate((b"", b"\xff" * 70, b"x" * 5000), start=1):
-            assert (await one.handle_back(REACH, 0, body))[0] == 400
-            assert one.reach_exchange.refused == number
+            assert (await controller.handle_back(REACH, 0, body))[0] == 400
+            assert controller.reach_exchange.refused == number
         await trio.sleep(REPORT_S)
-        assert one.succession is not None and len(one.succession.peers) == CONTROLLERS - 1
+        assert controller.succession is not None and len(controller.succession.peers) == CONTROLLERS - 1
 
 
-async def test_a_leader_of_many_idle_machines_tells_of_those_that_others_can_know(
+async def test_a_leader_of_many_idle_machines_reports_only_those_that_others_can_know(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Others know only machines with claims: what a leader counts beyond these would be refused."""
+    """Others know only machines with claims, and reject a message that counts more."""
     async with cluster(monkeypatch, reach_options=BY_REACH) as whole:
-        await settled(whole, Users(whole))
-        one = whole.controllers[whole.leader()]
-        one.reachability.workers.counted({"za": (4000, 3900), "zb": (100, 100)})
+        await run_service(whole, Users(whole))
+        controller = whole.controllers[whole.leader()]
+        controller.reachability.workers.set_leader_counts({"za": (4000, 3900), "zb": (100, 100)})
         now = trio.current_time()
-        assert one.reachability.total(now).known == 4100
-        told = one.reach_exchange.message(now)
-        assert told.reach.known == one.reachability.workers.on_record >= REPLICAS
-        assert told.reach.heard == 0, "none of them came back from another leader"
+        assert controller.reachability.total(now).known == 4100
+        message = controller.reach_exchange.message(now)
+        assert message.reach.known == controller.reachability.workers.on_record >= REPLICAS
+        assert message.reach.reporting == 0, "none of them fell back from another leader"
         other = whole.controllers[(whole.leader() + 1) % CONTROLLERS]
-        assert (await other.handle_back(REACH, 0, told.pack()))[0] == 200 and other.reach_exchange.refused == 0
+        assert (await other.handle_back(REACH, 0, message.pack()))[0] == 200 and other.reach_exchange.refused == 0
--- a/ladderfield/connectivity/test_loopback.py
+++ b/ladderfield/connectivity/test_loopback.py
@@ -1,6 +1,6 @@
 """A leader that loses its workers, with real processes and sockets.
 
-Only order and verdicts are asserted: the clock is real, and the machine that runs this may be slow.
+Only order and verdicts are asserted, since the clock is real and the machine may be slow.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 async def cut_workers(folder: Path) -> tuple[list[Fault], list[str]]:
-    """Cut the leader off from all workers until another has started work; faults, and the old leader's log."""
+    """Cut the leader off from all workers until another has started work; the faults, and the old leader's log."""
     async with loopback_cluster(folder, FLAGS) as whole:
         users = Users(whole)
         with trio.fail_after(WITHIN_S):
@@ -43,7 +43,7 @@
         return found, whole.log(first).read_text().splitlines()
 
 
-def test_a_leader_that_loses_its_workers_makes_way_and_every_job_has_one_final_answer(tmp_path: Path) -> None:
+def test_a_leader_that_loses_its_workers_resigns_and_every_job_has_one_final_answer(tmp_path: Path) -> None:
     found, log = trio.run(cut_workers, tmp_path)
     assert found == []
     steps = ("authority: without workers", "resigns, as", "no longer leader: resigned")
--- a/ladderfield/connectivity/test_succession.py
+++ b/ladderfield/connectivity/test_succession.py
@@ -1,4 +1,4 @@
-"""Who makes way for whom, what is on record of it, and what controllers may say of their reach."""
+"""When a leader resigns and a candidate waits, the record of resignations, and the reach messages of controllers."""
 
 from __future__ import annotations
 
@@ -13,69 +13,76 @@
 from ladderfield.connectivity.options import ReachOptions, check
 from ladderfield.connectivity.reach_message import BODY, LAYOUT, ReachMessage, ReachMessageError, parse
 from ladderfield.connectivity.reach_message import check as check_message
-from ladderfield.connectivity.resignations import FORGET_AFTER, ResignationHistory
+from ladderfield.connectivity.resignations import RESET_AFTER_LEASES, ResignationHistory
 from ladderfield.connectivity.succession import PeerReach, Succession
-from ladderfield.connectivity.worker_reach import Directions, ZoneReach
+from ladderfield.connectivity.worker_reach import CutDirections, ZoneReach
 from ladderfield.flags import FlagError
 from ladderfield.testing import SETTINGS, settings
 
-REPORT_S, LEASE_S, TENURE_S, STAND_BACK_S = 2.0, 12.0, 12.0, 4.0
-NOTHING, ALL = ZoneReach(20, 0, 8, 0), ZoneReach(20, 5, 8, 8)
-CUT, INWARD, WHOLE = Directions(True, True), Directions(inward=True), Directions()
+REPORT_S, LEASE_S, MINIMUM_TERM_S, CANDIDACY_DELAY_S = 2.0, 12.0, 12.0, 4.0
+NO_REACH, FULL_REACH = ZoneReach(20, 0, 8, 0), ZoneReach(20, 5, 8, 8)
+CUT, INBOUND_CUT, NOT_CUT = CutDirections(True, True), CutDirections(inbound=True), CutDirections()
 
 
-def succession(word: ZoneReach = ALL, state_ok: bool = True, at: float = 100.0) -> Succession:
-    one = Succession(ReachOptions(TENURE_S, STAND_BACK_S), REPORT_S)
-    one.heard("n1", PeerReach(word, state_ok, at))
-    return one
+def with_peer(peer_reach: ZoneReach = FULL_REACH, state_ok: bool = True, at: float = 100.0) -> Succession:
+    succession = Succession(ReachOptions(MINIMUM_TERM_S, CANDIDACY_DELAY_S), REPORT_S)
+    succession.note_peer("n1", PeerReach(peer_reach, state_ok, at))
+    return succession
 
 
-def test_a_leader_that_no_worker_reaches_makes_way_for_a_peer_that_reaches_them() -> None:
-    assert succession().should_resign(NOTHING, CUT, 50.0, 100.0) == "n1"
+def test_a_leader_that_no_worker_reaches_resigns_for_a_peer_that_reaches_them() -> None:
+    assert with_peer().should_resign(NO_REACH, CUT, 50.0, 100.0) == "n1"
 
 
 @pytest.mark.parametrize(
-    ("one", "own", "cut", "term_from"),
+    ("succession", "own", "cut", "term_from"),
     [
-        (succession(), ALL, WHOLE, 50.0),  # it reaches them itself
-        (succession(), ZoneReach(20, 20, 8, 0), Directions(outward=True), 50.0),  # reports come in
-        (succession(), NOTHING, CUT, 100.0 - TENURE_S + 0.1),  # not long in office
-        (succession(state_ok=False), NOTHING, CUT, 50.0),  # the peer has no state service
-        (succession(at=95.9), NOTHING, CUT, 50.0),  # its word is old
-        (succession(NOTHING), NOTHING, CUT, 50.0),  # it is no better off
-        (succession(ZoneReach(20, 0, 2, 2)), NOTHING, CUT, 50.0),  # too little to tell
-        (succession(ZoneReach(20, 0, 8, 5)), NOTHING, CUT, 50.0),  # not clearly more
-        (succession(ZoneReach(20, 0, 8, 8)), ZoneReach(20, 0, 8, 8), INWARD, 50.0),  # reports may not come in there
-        (Succession(ReachOptions(TENURE_S, STAND_BACK_S), REPORT_S), NOTHING, CUT, 50.0),  # nobody told anything
+        (with_peer(), FULL_REACH, NOT_CUT, 50.0),  # it reaches them itself
+        (with_peer(), ZoneReach(20, 20, 8, 0), CutDirections(outbound=True), 50.0),  # reports arrive
+        (with_peer(), NO_REACH, CUT, 100.0 - MINIMUM_TERM_S + 0.1),  # before its minimum term is over
+        (with_peer(state_ok=False), NO_REACH, CUT, 50.0),  # the state service does not serve the peer
+        (with_peer(at=95.9), NO_REACH, CUT, 50.0),  # its message is old
+        (with_peer(NO_REACH), NO_REACH, CUT, 50.0),  # it reaches no more workers
+        (with_peer(ZoneReach(20, 0, 2, 2)), NO_REACH, CUT, 50.0),  # too few exchanges to judge
+        (with_peer(ZoneReach(20, 0, 8, 5)), NO_REACH, CUT, 50.0),  # not clearly more
+        (with_peer(ZoneReach(20, 0, 8, 8)), ZoneReach(20, 0, 8, 8), INBOUND_CUT, 50.0),  # reports may not arrive there
+        # No peer has sent a message.
+        (Succession(ReachOptions(MINIMUM_TERM_S, CANDIDACY_DELAY_S), REPORT_S), NO_REACH, CUT, 50.0),
     ],
 )
-def test_else_it_stays(one: Succession, own: ZoneReach, cut: Directions, term_from: float) -> None:
-    assert one.should_resign(own, cut, term_from, 100.0) is None
+def test_a_leader_stays_without_a_clearly_better_peer(
+    succession: Succession, own: ZoneReach, cut: CutDirections, term_from: float
+) -> None:
+    assert succession.should_resign(own, cut, term_from, 100.0) is None
 
 
-def test_where_only_reports_do_not_come_in_the_peer_has_to_have_them() -> None:
+def test_if_only_reports_fail_to_arrive_the_peer_must_receive_them() -> None:
     own = ZoneReach(20, 1, 8, 8)
-    assert succession(ZoneReach(20, 5, 8, 8)).should_resign(own, INWARD, 50.0, 100.0) == "n1"
-    assert succession(ZoneReach(20, 3, 8, 8)).should_resign(own, INWARD, 50.0, 100.0) is None
+    assert with_peer(ZoneReach(20, 5, 8, 8)).should_resign(own, INBOUND_CUT, 50.0, 100.0) == "n1"
+    assert with_peer(ZoneReach(20, 3, 8, 8)).should_resign(own, INBOUND_CUT, 50.0, 100.0) is None
 
 
-def test_a_candidate_without_reach_stands_back_for_a_bounded_time_only() -> None:
-    one = succession()
-    assert one.stand_back_for(NOTHING, CUT, 99.0, 100.0) == pytest.approx(STAND_BACK_S - 1.0)
-    assert one.stand_back_for(NOTHING, CUT, 90.0, 100.0) < 0, "never for ever"
-    assert one.stand_back_for(ALL, WHOLE, 99.0, 100.0) == 0.0
-    assert succession(NOTHING).stand_back_for(NOTHING, CUT, 99.0, 100.0) == 0.0, "nobody has better reach"
+def test_a_candidate_without_reach_waits_for_a_bounded_time_only() -> None:
+    succession = with_peer()
+    assert succession.remaining_candidacy_delay_s(NO_REACH, CUT, 99.0, 100.0) == pytest.approx(CANDIDACY_DELAY_S - 1.0)
+    assert succession.remaining_candidacy_delay_s(NO_REACH, CUT, 90.0, 100.0) < 0, "the delay ends"
+    assert succession.remaining_candidacy_delay_s(FULL_REACH, NOT_CUT, 99.0, 100.0) == 0.0
+    assert with_peer(NO_REACH).remaining_candidacy_delay_s(NO_REACH, CUT, 99.0, 100.0) == 0.0, (
+        "no peer has better reach"
+    )
 
 
-def test_who_resigned_stands_back_once_whatever_others_say() -> None:
-    one = Succession(ReachOptions(TENURE_S, STAND_BACK_S), REPORT_S)
-    one.resigned_at = 99.0
-    assert one.stand_back_for(ALL, WHOLE, 99.5, 100.0) > 0
-    assert one.stand_back_for(ALL, WHOLE, 99.5, 104.0) < 0
-    assert one.stand_back_for(ALL, WHOLE, 140.0, 140.0) == 0.0, "at a later election it is as any other"
+def test_a_resigned_leader_waits_in_one_election_whatever_others_report() -> None:
+    succession = Succession(ReachOptions(MINIMUM_TERM_S, CANDIDACY_DELAY_S), REPORT_S)
+    succession.resigned_at = 99.0
+    assert succession.remaining_candidacy_delay_s(FULL_REACH, NOT_CUT, 99.5, 100.0) > 0
+    assert succession.remaining_candidacy_delay_s(FULL_REACH, NOT_CUT, 99.5, 104.0) < 0
+    assert succession.remaining_candidacy_delay_s(FULL_REACH, NOT_CUT, 140.0, 140.0) == 0.0, (
+        "in a later election it does not wait"
+    )
 
 
-def test_the_pause_between_resignations_doubles_and_is_forgotten() -> None:
+def test_the_pause_between_resignations_doubles_and_is_reset() -> None:
     history = ResignationHistory(LEASE_S)
     value: Any = None
     pauses = []
@@ -83,7 +90,7 @@
         value = history.next(value, "n0", 1000.0)
         pauses.append((history.not_before(value, 1000.0) - 1000.0) / LEASE_S)
     assert pauses == [1, 2, 4, 8, 8, 8]
-    later = 1000.0 + FORGET_AFTER * LEASE_S + 1
+    later = 1000.0 + RESET_AFTER_LEASES * LEASE_S + 1
     assert history.not_before(value, later) == 0.0 and history.next(value, "n0", later)["count"] == 1
 
 
@@ -91,7 +98,7 @@
     "value", [3, {}, {"member": "n0"}, {"member": 1, "at": 1.0, "count": 1}, {"member": "n0", "at": 1.0, "count": 0},
               {"member": "n0", "at": 1.0, "count": 2**40}, "x" * 100]
 )  # fmt: skip
-def test_a_record_that_can_not_be_used_is_ignored(value: Any) -> None:
+def test_an_unusable_record_of_resignations_is_ignored(value: Any) -> None:
     assert ResignationHistory(LEASE_S).not_before(value, 1000.0) == 0.0
     assert ResignationHistory(LEASE_S).next(value, "n0", 1000.0)["count"] == 1
 
@@ -101,8 +108,8 @@
     assert ResignationHistory(LEASE_S).not_before(value, 1000.0) == 1000.0 + LEASE_S
 
 
-def test_a_message_of_reach_comes_back_as_it_was() -> None:
-    message = ReachMessage("n1", 7, True, ALL)
+def test_a_reach_message_survives_encoding_and_decoding() -> None:
+    message = ReachMessage("n1", 7, True, FULL_REACH)
     assert parse(message.pack()) == message
 
 
@@ -115,7 +122,7 @@
         BODY.pack(LAYOUT, 7, 1, 1, 1, 1, 1) + b"n" * 257,
     ],
 )  # fmt: skip
-def test_a_malformed_message_is_refused(body: bytes) -> None:
+def test_a_malformed_reach_message_is_rejected(body: bytes) -> None:
     with pytest.raises(ReachMessageError):
         parse(body)
 
@@ -123,19 +130,19 @@
 @pytest.mark.parametrize(
     "message",
     [
-        ReachMessage("n7", 7, True, ALL),  # unknown
-        ReachMessage("n1", 6, True, ALL),  # of an earlier epoch
-        ReachMessage("n1", 7, True, ZoneReach(4000, 4000, 8, 8)),  # beyond the fleet
-        ReachMessage("n1", 7, True, ZoneReach(20, 5, 40, 40)),  # more than anybody keeps
+        ReachMessage("n7", 7, True, FULL_REACH),  # unknown sender
+        ReachMessage("n1", 6, True, FULL_REACH),  # of an earlier epoch
+        ReachMessage("n1", 7, True, ZoneReach(4000, 4000, 8, 8)),  # more machines than the fleet has
+        ReachMessage("n1", 7, True, ZoneReach(20, 5, 40, 40)),  # more exchanges than a controller keeps
     ],
 )
-def test_a_message_that_can_not_be_so_is_refused(message: ReachMessage) -> None:
-    check_message(ReachMessage("n1", 7, True, ALL), {"n1", "n2"}, 2, 7, 20)
+def test_an_implausible_reach_message_is_rejected(message: ReachMessage) -> None:
+    check_message(ReachMessage("n1", 7, True, FULL_REACH), {"n1", "n2"}, 2, 7, 20)
     with pytest.raises(ReachMessageError):
         check_message(message, {"n1", "n2"}, 2, 7, 20)
 
 
-def test_flags_have_defaults_in_ratio_to_the_pace() -> None:
+def test_flag_defaults_follow_the_lease_and_report_times() -> None:
     workers = settings().cluster.workers
     assert check(True, None, None, workers) == ReachOptions(LEASE_S, 2 * REPORT_S)
     assert check(False, None, None, workers) is None
--- a/ladderfield/peers.py
+++ b/ladderfield/peers.py
@@ -1,16 +1,16 @@
-"""What controllers say to each other over ``back``: binary frames, one question and one answer at a time.
+"""The protocol between controllers over ``back``: binary frames, one request and one answer at a time on a connection.
 
-Four things need it: a worker that can't reach the leader gets its report relayed, if need be by way of a third
-controller; each learns how the others are: whether the state service serves them, that they are not leader, and
-who is; a leader learns of cancellations that it can't see on record (``cancellation_sync.py``); and controllers tell
-each other which workers they reach (``connectivity/exchange.py``). So a leader that
-the state service alone has lost steps down as soon as its successor can be asked, and a controller without the state
-service still sends workers to the right place.
+It has four uses. The report of a worker that can't reach the leader is relayed, if need be by a third controller. Each
+controller learns whether the state service serves the others, whether they may be leader, and whom they know as leader.
+A leader learns of cancellations that it can't read from the state service (``cancellation_sync.py``). Controllers tell
+each other which workers they reach (``connectivity/exchange.py``). So a leader that has lost only the state service
+steps down as soon as it can ask its successor, and a controller without the state service still sends workers to the
+right place.
 
     frame:  magic 2s | version B | kind B | status H | length I | body
-    health: leads B | epoch Q | name of that epoch's leader
+    health: may be leader B | epoch Q | name of that epoch's leader
 
-The last three kinds are sent only to who has said on record that it takes them (``rollout.py``).
+The last three kinds are sent only to controllers that have recorded that they understand them (``rollout.py``).
 
 ``status`` is an HTTP status in answers, and in a relay the number of controllers that have carried it already.
 """
@@ -29,39 +29,39 @@
 
 log = logging.getLogger(__name__)
 
-HEAD = struct.Struct("!2sBBHI")
-MAGIC, VERSION = b"lf", 2
-BODY_MOST = 64 * 1024  # a report's bound, and so an answer's
+FRAME_HEADER = struct.Struct("!2sBBHI")
+MAGIC, PROTOCOL_VERSION = b"lf", 2
+MAX_BODY_BYTES = 64 * 1024  # the limit on a report, and so on an answer
 RELAY, ANSWER, HEALTH, CANCELLATION_QUERY, CANCELLATION_NOTICE, REACH = 1, 2, 3, 4, 5, 6
-SELF = struct.Struct("!BQ")  # in the answer to HEALTH: may be leader itself | highest epoch known, then its leader
-BACK_SHARE = 1 / 14  # of the sockets: what the others may open to us, and so we to them all together
+HEALTH_BODY = struct.Struct("!BQ")  # in the answer to HEALTH: may be leader | highest epoch known, then its leader
+BACK_SOCKETS_SHARE = 1 / 14  # of the sockets: connections from the other controllers, and as many to them
 
 
-def back_most(max_connections: int) -> int:
-    """How many connections the other controllers may have open to one."""
-    return max(8, int(max_connections * BACK_SHARE))
+def max_back_connections(max_connections: int) -> int:
+    """How many connections the other controllers together may open to one controller."""
+    return max(8, int(max_connections * BACK_SOCKETS_SHARE))
 
 
 class FrameError(Exception):
-    """Not a frame of ours: the connection is closed."""
+    """A malformed frame: the connection is closed."""
 
 
 def pack(kind: int, status: int, body: bytes) -> bytes:
-    """A frame."""
-    if len(body) > BODY_MOST:
-        raise FrameError(f"{len(body)} bytes are too many")
-    return HEAD.pack(MAGIC, VERSION, kind, status, len(body)) + body
+    """Encode a frame."""
+    if len(body) > MAX_BODY_BYTES:
+        raise FrameError(f"{len(body)} bytes are too many for the body of a frame")
+    return FRAME_HEADER.pack(MAGIC, PROTOCOL_VERSION, kind, status, len(body)) + body
 
 
-def unpack_head(head: bytes) -> tuple[int, int, int]:
-    """Kind, status and length of the body to come."""
-    magic, version, kind, status, length = HEAD.unpack(head)
-    if magic != MAGIC or version != VERSION or not RELAY <= kind <= REACH or length > BODY_MOST:
-        raise FrameError(f"{head.hex()} is no frame head")
+def unpack_header(head: bytes) -> tuple[int, int, int]:
+    """The kind, the status and the length of the body."""
+    magic, version, kind, status, length = FRAME_HEADER.unpack(head)
+    if magic != MAGIC or version != PROTOCOL_VERSION or not RELAY <= kind <= REACH or length > MAX_BODY_BYTES:
+        raise FrameError(f"{head.hex()} is not a frame header")
     return kind, status, length
 
 
-async def _exactly(stream: trio.abc.Stream, size: int) -> bytes:
+async def _receive_exactly(stream: trio.abc.Stream, size: int) -> bytes:
     parts = bytearray()
     while len(parts) < size:
         data = await stream.receive_some(size - len(parts))
@@ -71,31 +71,31 @@
     return bytes(parts)
 
 
-async def read(stream: trio.abc.Stream) -> tuple[int, int, bytes]:
-    """The next frame; EOFError when the other side is done."""
-    kind, status, length = unpack_head(await _exactly(stream, HEAD.size))
-    return kind, status, await _exactly(stream, length)
+async def read_frame(stream: trio.abc.Stream) -> tuple[int, int, bytes]:
+    """The next frame; EOFError when the other side has closed the connection."""
+    kind, status, length = unpack_header(await _receive_exactly(stream, FRAME_HEADER.size))
+    return kind, status, await _receive_exactly(stream, length)
 
 
-Answerer = Callable[[int, int, bytes], Awaitable[tuple[int, bytes]]]
+RequestHandler = Callable[[int, int, bytes], Awaitable[tuple[int, bytes]]]
 
 
 class BackServer:
-    """Answers the other controllers."""
+    """Answers the requests of the other controllers."""
 
-    def __init__(self, answer: Answerer, most: int, idle_s: float, answer_s: float) -> None:
-        self.answer, self.most, self.idle_s, self.answer_s = answer, most, idle_s, answer_s
+    def __init__(self, answer: RequestHandler, max_connections: int, idle_s: float, answer_s: float) -> None:
+        self.answer, self.max_connections, self.idle_s, self.answer_s = answer, max_connections, idle_s, answer_s
         self.open = 0
         self._warned = False
 
     async def __call__(self, stream: trio.abc.Stream) -> None:
-        """Serve one connection; a malformed frame ends it, and is told once."""
+        """Serve one connection; a malformed frame closes it, and only the first one is logged."""
         self.open += 1
         try:
             async with stream:
-                while self.open <= self.most:
+                while self.open <= self.max_connections:
                     with trio.move_on_after(self.idle_s) as scope:
-                        kind, status, body = await read(stream)
+                        kind, status, body = await read_frame(stream)
                     if scope.cancelled_caught:
                         return
                     status, body = await self.answer(kind, status, body)
@@ -104,7 +104,7 @@
         except FrameError as error:
             if not self._warned:
                 self._warned = True
-                log.warning("a malformed frame came over back: %s", error)
+                log.warning("malformed frame on back: %s", error)
         except (EOFError, OSError, trio.BrokenResourceError, trio.ClosedResourceError, trio.TooSlowError):
             pass
         finally:
@@ -112,56 +112,61 @@
 
 
 class PeerAnswer(NamedTuple):
-    """What another controller answered."""
+    """An answer of another controller."""
 
     status: int
     body: bytes
 
 
 class PeerLink:
-    """Questions to one other controller."""
+    """Requests to one other controller."""
 
-    def __init__(self, peer: Peer, at_once: int = 16) -> None:
+    def __init__(self, peer: Peer, max_requests: int = 16) -> None:
         self.peer = peer
-        self.at_once = at_once  # questions: the workers of a zone, or all of them, may be relayed at the same time
-        self._at = address(peer.endpoint)
+        self.max_requests = (
+            max_requests  # in flight: the workers of a zone, or all of them, may be relayed at the same time
+        )
+        self._address = address(peer.endpoint)
         self._idle: list[trio.abc.Stream] = []
-        self._busy = 0
-        self.reachable = True  # as of the last question
-        self.state_ok = False  # whether the state service serves it, as it last said
-        self.leads = True  # whether it may be leader, as it last said; silence proves nothing
-        self.knows: tuple[int, str] = (0, "")  # the highest epoch it knows, and that epoch's leader
+        self._in_flight = 0
+        self.reachable = True  # as of the last request
+        self.state_ok = False  # whether the state service serves it, by its last answer
+        self.may_lead = True  # whether it may be leader, by its last answer; silence proves nothing
+        self.latest_known: tuple[int, str] = (0, "")  # the highest epoch it knows, and that epoch's leader
 
     async def ask(self, kind: int, body: bytes, timeout: float, status: int = 0) -> PeerAnswer | None:
-        """The answer's status and body, or None."""
-        if self._busy >= self.at_once:
+        """Send a request; the answer, or None."""
+        if self._in_flight >= self.max_requests:
             return None
-        self._busy += 1
+        self._in_flight += 1
         stream: trio.abc.Stream | None = None
-        whole = False
+        complete = False
         try:
             with trio.fail_after(timeout):
-                stream = self._idle.pop() if self._idle else await connect(*self._at)
+                stream = self._idle.pop() if self._idle else await connect(*self._address)
                 await stream.send_all(pack(kind, status, body))
-                answer_kind, status, answer = await read(stream)
-                whole = self.reachable = answer_kind == ANSWER
-                return PeerAnswer(status, answer) if whole else None
+                answer_kind, status, answer = await read_frame(stream)
+                complete = self.reachable = answer_kind == ANSWER
+                return PeerAnswer(status, answer) if complete else None
         except (FrameError, EOFError, OSError, trio.BrokenResourceError, trio.ClosedResourceError, trio.TooSlowError):
             self.reachable = False
             return None
         finally:
-            self._busy -= 1
+            self._in_flight -= 1
             if stream is not None:
-                if whole and len(self._idle) < self.at_once:
+                if complete and len(self._idle) < self.max_requests:
                     self._idle.append(stream)
                 else:
                     await trio.aclose_forcefully(stream)
 
     async def check(self, timeout: float) -> None:
-        """Ask how the other controller is."""
+        """Ask for the health of the other controller."""
         answer = await self.ask(HEALTH, b"", timeout)
         self.state_ok = answer is not None and answer.status == 200
-        self.leads, self.knows = True, (0, "")
-        if answer is not None and len(answer.body) >= SELF.size:
-            leads, epoch = SELF.unpack_from(answer.body)
-            self.leads, self.knows = bool(leads), (epoch, answer.body[SELF.size :].decode(errors="replace"))
+        self.may_lead, self.latest_known = True, (0, "")
+        if answer is not None and len(answer.body) >= HEALTH_BODY.size:
+            may_lead, epoch = HEALTH_BODY.unpack_from(answer.body)
+            self.may_lead, self.latest_known = (
+                bool(may_lead),
+                (epoch, answer.body[HEALTH_BODY.size :].decode(errors="replace")),
+            )
--- a/ladderfield/rollout.py
+++ b/ladderfield/rollout.py
@@ -1,9 +1,9 @@
-"""What a new version may ask of the others: nothing that one of them doesn't understand yet.
+"""The feature levels of all controllers: a feature is used only once every controller understands it.
 
-A version of this program says on record, once and for good, what it understands. Only when every controller in the
-settings has said so may anything be put on record that an older version would take wrongly: jobs that wait for others,
-whose tasks it would start too early. Once known it stays known, as the records stay. What every version understands is
-in docs/design.md, "Versions side by side".
+Each controller records the level of its version, once and for good. Only when every controller in the settings has
+recorded a level may anything be written that an older version would misread, such as jobs with dependencies, whose
+tasks it would start too early. A level that was reached stays reached, as the records stay. What every version
+understands is in docs/design.md, "Versions side by side".
 """
 
 from __future__ import annotations
@@ -18,56 +18,58 @@
 
 log = logging.getLogger(__name__)
 
-VERSION = "lf/v/"  # a controller, and what its program understands
-WAITING = 1  # jobs that wait for others
-CANCELLATION_SYNC = 2  # questions about cancellations over ``back``, and the grace period that they allow
-REACH_EXCHANGE = 3  # messages about reach over ``back``, and the record of resignations
-LEVEL = REACH_EXCHANGE
+VERSION_PREFIX = "lf/v/"  # followed by the controller's name
+JOB_DEPENDENCIES = 1  # jobs that wait for others
+CANCELLATION_SYNC = 2  # queries for cancellations over ``back``, and the grace period that they allow
+REACH_EXCHANGE = 3  # reach messages over ``back``, and the record of resignations
+OWN_LEVEL = REACH_EXCHANGE
 
 
 def level_of(view: View, member: str) -> int:
-    """What a controller's program understands, as far as is on record here."""
-    value = view.get(VERSION + member)
+    """The recorded level of a controller, as far as the view has it; 0 if there is none."""
+    value = view.get(VERSION_PREFIX + member)
     level = value.get("level") if isinstance(value, dict) else None
     return level if isinstance(level, int) else 0
 
 
 class Rollout:
-    """Says that this version is here, and knows whether it is everywhere."""
+    """Records the level of this controller, and tells which level all controllers have."""
 
     def __init__(self, settings: Settings, client: StateClient, view: View) -> None:
         self.client, self.view = client, view
         self.member = settings.member
-        self.key = VERSION + self.member
+        self.key = VERSION_PREFIX + self.member
         self.members = [self.member, *(peer.member for peer in settings.peers)]
-        self.pause = settings.cluster.workers.report_s / 4
-        self._everywhere = 0  # the level that every controller is known to have
+        self.interval_s = settings.cluster.workers.report_s / 4
+        self._common_level = 0  # the level that every controller is known to have
 
     @property
-    def complete(self) -> bool:
+    def supports_dependencies(self) -> bool:
         """Whether every controller understands jobs that wait for others."""
-        return self._has_everywhere(WAITING)
+        return self._all_support(JOB_DEPENDENCIES)
 
     @property
-    def reach_everywhere(self) -> bool:
-        """Whether every controller understands messages about reach and the record of resignations."""
-        return self._has_everywhere(REACH_EXCHANGE)
+    def supports_reach_exchange(self) -> bool:
+        """Whether every controller understands reach messages and the record of resignations."""
+        return self._all_support(REACH_EXCHANGE)
 
-    def _has_everywhere(self, level: int) -> bool:
-        if self._everywhere < level:
-            self._everywhere = min(level_of(self.view, member) for member in self.members)
-        return self._everywhere >= level
+    def _all_support(self, level: int) -> bool:
+        if self._common_level < level:
+            self._common_level = min(level_of(self.view, member) for member in self.members)
+        return self._common_level >= level
 
     async def run(self) -> None:
-        """Put it on record as soon as there is a view, and look after it."""
+        """Record the level once the view is loaded, and again should the record be missing."""
         while True:
-            if self.view.synced and level_of(self.view, self.member) < LEVEL:
+            if self.view.synced and level_of(self.view, self.member) < OWN_LEVEL:
                 try:
                     await self.client.writes.take(urgent=True)
-                    guards = {self.key: self.view.stamp(self.key)}
-                    outcome = await self.client.commit(guards, {self.key: {"level": LEVEL}}, [], self.pause * 4)
-                    with trio.move_on_after(self.pause * 4):
-                        await self.view.reach(outcome.ledger)
+                    guards = {self.key: self.view.revision_of(self.key)}
+                    outcome = await self.client.commit(
+                        guards, {self.key: {"level": OWN_LEVEL}}, [], self.interval_s * 4
+                    )
+                    with trio.move_on_after(self.interval_s * 4):
+                        await self.view.wait_for_revision(outcome.revision)
                 except StateServiceError as error:
-                    log.debug("version not told yet: %s", error)
-            await trio.sleep(self.pause / 4 if not self.view.synced else self.pause)
+                    log.debug("could not record the version yet: %s", error)
+            await trio.sleep(self.interval_s / 4 if not self.view.synced else self.interval_s)
--- a/ladderfield/state.py
+++ b/ladderfield/state.py
@@ -1,4 +1,4 @@
-"""The HTTP client of the state service, within this controller's share of the limits on calls."""
+"""The HTTP client of the state service, which keeps within this controller's share of the limits on calls."""
 
 from __future__ import annotations
 
@@ -10,63 +10,63 @@
 import trio
 
 from ladderfield.budget import Budget
-from ladderfield.connectivity.links import Exchange, exchange_of
-from ladderfield.connectivity.reachability import Side
+from ladderfield.connectivity.links import Exchange, exchange_for_status
+from ladderfield.connectivity.reachability import LinkKind
 from ladderfield.http import Client, NoAnswerError, decode_object
 from ladderfield.settings import Settings, address
 
 PREFIX = "lf/"
-UNUSED_PREFIX = "lf-none/"  # no key ever has this prefix: listing it returns the ledger and nothing else
-PAGE_LIMIT = 1000  # keys on one page of a listing
+UNUSED_PREFIX = "lf-none/"  # no key has this prefix: listing it returns only the revision
+PAGE_LIMIT = 1000  # keys
 
 
 class Pair(msgspec.Struct, frozen=True):
     """A key as the service lists it."""
 
     key: str
-    stamp: int
+    revision: int = msgspec.field(name="stamp")
     value: Any = None
 
 
 class Page(msgspec.Struct, frozen=True):
-    """Some of our keys."""
+    """One page of a listing of keys."""
 
     pairs: list[Pair]
-    ledger: int
-    more: bool = msgspec.field(name="hasNext", default=False)
+    revision: int = msgspec.field(name="ledger")
+    has_more: bool = msgspec.field(name="hasNext", default=False)
 
 
 class Event(msgspec.Struct, frozen=True):
-    """A change: of ``put``, or the end of ``delete``."""
+    """A change: ``put`` or ``delete`` is the key."""
 
-    stamp: int
+    revision: int = msgspec.field(name="stamp")
     put: str | None = None
     delete: str | None = None
     value: Any = None
 
 
-class Watched(msgspec.Struct, frozen=True):
-    """What a watch tells."""
+class WatchAnswer(msgspec.Struct, frozen=True):
+    """The answer of a watch."""
 
-    ledger: int
+    revision: int = msgspec.field(name="ledger")
     events: list[Event]
 
 
 class StateServiceError(Exception):
-    """The state service did not carry the request out, or did not say that it has."""
+    """The state service did not carry out the request, or did not confirm it."""
 
 
 class WriteRefusedError(StateServiceError):
-    """The state service will never take this as it is: it is surely not carried out, and a repeat is useless."""
+    """The state service rejects this write as it is: it was not carried out, and a retry is useless."""
 
 
 class Outcome:
-    """What became of a transaction: applied at ``ledger``, or the guards that failed."""
+    """The result of a transaction: the revision at which it was applied, or the keys whose guards failed."""
 
-    __slots__ = ("failed", "ledger")
+    __slots__ = ("failed", "revision")
 
-    def __init__(self, ledger: int, failed: list[str] | None) -> None:
-        self.ledger, self.failed = ledger, failed
+    def __init__(self, revision: int, failed: list[str] | None) -> None:
+        self.revision, self.failed = revision, failed
 
 
 class StateClient:
@@ -77,16 +77,18 @@
         host, port = address(settings.outside.state)
         self._client = Client(host, port)
         self._watcher = Client(host, port, keep=1)
-        # Nearly half of the writes are the one leader's, half is shared by the controllers' jobs APIs. Every change
-        # wakes the watches of all controllers, so these have a share of the calls of their own; a tenth is left for
-        # renewals.
+        # Nearly half of the writes is for the leader, half is shared by the jobs APIs of the controllers. Every change
+        # wakes the watches of all controllers, so they have a share of the calls of their own; a tenth is left for
+        # lease renewals.
         self.writes = Budget(limits.write_rps * 0.5 / size)
         self.leader_writes = Budget(limits.write_rps * 0.45)
         self.watches = Budget(limits.rps * 0.4 / size)
         self.calls = Budget(limits.rps * 0.3 / size)
         self.leader_calls = Budget(limits.rps * 0.2)
-        self.observe: Callable[[Side, Exchange], None] = lambda side, exchange: None  # told how each call ended
-        self.answered_at = -math.inf  # when the service last answered us with anything but trouble
+        self.observe: Callable[[LinkKind, Exchange], None] = lambda link, exchange: (
+            None
+        )  # called with the outcome of each call
+        self.answered_at = -math.inf  # when the service last answered with anything but 429 or 5xx
 
     async def _call(
         self, method: str, target: str, body: Any, timeout: float, client: Client | None = None
@@ -96,10 +98,10 @@
             status, data = await client.call(method, target, body, timeout)
             answer = decode_object(data) if data else {}
         except NoAnswerError as error:
-            self.observe(_side(method, target), Exchange.LOST)
+            self.observe(_link_of(method, target), Exchange.LOST)
             await client.drop()
             raise StateServiceError(str(error)) from None
-        self.observe(_side(method, target), exchange_of(status))
+        self.observe(_link_of(method, target), exchange_for_status(status))
         if status == 429:
             self.calls.drain()
         if status >= 500 or status == 429:
@@ -107,27 +109,27 @@
         self.answered_at = trio.current_time()
         return status, answer
 
-    async def ledger(self, timeout: float) -> int:
-        """The present revision, read from the service now."""
+    async def read_revision(self, timeout: float) -> int:
+        """The current revision, read from the service."""
         status, answer = await self._call("GET", f"/keys?starts={UNUSED_PREFIX}&limit=1", None, timeout)
-        ledger = answer.get("ledger")
-        if status != 200 or not isinstance(ledger, int):
-            raise StateServiceError(f"no ledger: {status}")
-        return ledger
+        revision = answer.get("ledger")
+        if status != 200 or not isinstance(revision, int):
+            raise StateServiceError(f"no revision in the answer: {status}")
+        return revision
 
     async def page(self, after: str, timeout: float) -> Page:
-        """One page of our keys."""
+        """One page of keys, those after ``after``."""
         target = f"/keys?starts={PREFIX}&limit={PAGE_LIMIT}" + (f"&after={after}" if after else "")
         status, answer = await self._call("GET", target, None, timeout)
-        return _checked(status, answer, Page)
+        return _converted(status, answer, Page)
 
-    async def stamp(self, key: str, timeout: float) -> int:
-        """A key's present version; 0 if it does not exist."""
+    async def revision_of(self, key: str, timeout: float) -> int:
+        """The current revision of a key, 0 if it does not exist."""
         status, answer = await self._call("GET", f"/keys/{key}", None, timeout)
-        stamp = 0 if status == 404 else answer.get("stamp")
-        if not isinstance(stamp, int):
-            raise StateServiceError(f"no stamp: {status}")
-        return stamp
+        revision = 0 if status == 404 else answer.get("stamp")
+        if not isinstance(revision, int):
+            raise StateServiceError(f"no revision of the key in the answer: {status}")
+        return revision
 
     async def commit(
         self,
@@ -135,72 +137,72 @@
         puts: dict[str, Any],
         deletes: list[str],
         timeout: float,
-        hold: int | None = None,
-        held: str | None = None,
+        lease_id: int | None = None,
+        leased_key: str | None = None,
     ) -> Outcome:
-        """One transaction; ``held`` names the put that is attached to lease ``hold``."""
-        body = _transaction(guards, puts, deletes, hold, held)
+        """One transaction; the put of ``leased_key`` is attached to the lease ``lease_id``."""
+        body = _transaction(guards, puts, deletes, lease_id, leased_key)
         status, answer = await self._call("POST", "/multi", body, timeout)
-        ledger, failed = answer.get("ledger"), answer.get("failed")
-        if status == 200 and isinstance(ledger, int):
-            return Outcome(ledger, None)
-        if status == 409 and isinstance(failed, list) and isinstance(ledger, int):
-            return Outcome(ledger, [str(key) for key in failed])
+        revision, failed = answer.get("ledger"), answer.get("failed")
+        if status == 200 and isinstance(revision, int):
+            return Outcome(revision, None)
+        if status == 409 and isinstance(failed, list) and isinstance(revision, int):
+            return Outcome(revision, [str(key) for key in failed])
         if status == 400:
             raise WriteRefusedError(f"commit: {answer}")
         raise StateServiceError(f"commit: {status} {answer}")
 
-    async def grant(self, ttl_s: float, timeout: float) -> int:
-        """A new lease."""
+    async def grant_lease(self, ttl_s: float, timeout: float) -> int:
+        """Create a lease and return its id."""
         status, answer = await self._call("POST", "/grants", {"ttlMs": round(ttl_s * 1000)}, timeout)
-        hold = answer.get("hold")
-        if status != 200 or not isinstance(hold, int):
-            raise StateServiceError(f"no lease: {status}")
-        return hold
-
-    async def touch(self, hold: int, timeout: float) -> bool:
-        """Renew a lease; False if it has ended."""
-        status, _ = await self._call("POST", f"/grants/{hold}/touch", {}, timeout)
+        lease_id = answer.get("hold")
+        if status != 200 or not isinstance(lease_id, int):
+            raise StateServiceError(f"no lease in the answer: {status}")
+        return lease_id
+
+    async def renew_lease(self, lease_id: int, timeout: float) -> bool:
+        """Renew a lease; False if it has expired."""
+        status, _ = await self._call("POST", f"/grants/{lease_id}/touch", {}, timeout)
         return status == 200
 
-    async def release(self, hold: int, timeout: float) -> None:
-        """End a lease at once, and with it the keys attached to it."""
-        await self._call("DELETE", f"/grants/{hold}", None, timeout)
+    async def release_lease(self, lease_id: int, timeout: float) -> None:
+        """End a lease at once, which deletes the keys attached to it."""
+        await self._call("DELETE", f"/grants/{lease_id}", None, timeout)
 
-    async def watch(self, after: int, wait_s: float) -> Watched | None:
-        """Changes after a revision, or None if the service no longer keeps that far back."""
+    async def watch(self, after: int, wait_s: float) -> WatchAnswer | None:
+        """Changes after a revision, or None if the service no longer keeps changes that old."""
         await self.watches.take()
         target = f"/watch?starts={PREFIX}&after={after}&waitMs={round(wait_s * 1000)}"
         status, answer = await self._call("GET", target, None, wait_s * 2, self._watcher)
-        return None if status == 410 else _checked(status, answer, Watched)
+        return None if status == 410 else _converted(status, answer, WatchAnswer)
 
 
-def _side(method: str, target: str) -> Side:
-    """Which of our links to the state service a call goes over."""
+def _link_of(method: str, target: str) -> LinkKind:
+    """Which link to the state service a call uses."""
     if target.startswith("/watch"):
-        return Side.STATE_WATCH
-    return Side.STATE_READ if method == "GET" else Side.STATE_WRITE
+        return LinkKind.STATE_WATCH
+    return LinkKind.STATE_READ if method == "GET" else LinkKind.STATE_WRITE
 
 
 def _transaction(
-    guards: dict[str, int], puts: dict[str, Any], deletes: list[str], hold: int | None, held: str | None
+    guards: dict[str, int], puts: dict[str, Any], deletes: list[str], lease_id: int | None, leased_key: str | None
 ) -> dict[str, Any]:
     """The body of a transaction request."""
     apply: list[dict[str, Any]] = []
     for key, value in puts.items():
         put = {"put": key, "value": value}
-        if key == held:
-            put["hold"] = hold
+        if key == leased_key:
+            put["hold"] = lease_id
         apply.append(put)
     apply += [{"delete": key} for key in deletes]
-    return {"guards": [{"key": key, "stamp": stamp} for key, stamp in guards.items()], "apply": apply}
+    return {"guards": [{"key": key, "stamp": revision} for key, revision in guards.items()], "apply": apply}
 
 
 Answer = TypeVar("Answer")
 
 
-def _checked(status: int, answer: dict[str, Any], kind: type[Answer]) -> Answer:
-    """The answer as what it should be; a strange one counts as none."""
+def _converted(status: int, answer: dict[str, Any], kind: type[Answer]) -> Answer:
+    """The answer as ``kind``; a malformed answer counts as an error."""
     if status != 200:
         raise StateServiceError(f"{kind.__name__}: {status}")
     try:
--- a/ladderfield/term.py
+++ b/ladderfield/term.py
@@ -1,4 +1,4 @@
-"""One leader's time in office, and how long it may go on answering workers without the state service."""
+"""One leader's term, and how long the leader may go on answering workers without the state service."""
 
 from __future__ import annotations
 
@@ -19,52 +19,52 @@
 
 log = logging.getLogger(__name__)
 
-GRACE_BEFORE = 3.0  # of lease_s: the grace period of versions before this one, and never more than that
-KILLED = 0.25  # of report_s: how late a worker may notice that its lease is over
+MAX_GRACE_LEASES = 3.0  # the grace period of earlier versions, which this one's must not exceed
+LEASE_END_REPORT_INTERVALS = 0.25  # how late a worker may notice that its lease has expired
 
 
 def grace_s(settings: Settings) -> float:
-    """The grace period: how long after it last surely knew all cancellations a leader may answer reports.
+    """The grace period: how long after the time up to which it knows all cancellations a leader may answer reports.
 
     A worker goes on for lease_s after its last answered report. A cancellation that was confirmed right after that
-    moment, unknown to this leader, is carried out within cancel_s all the same if nothing is answered later than this.
-    Where the settings leave nothing there is no grace period. A successor adds it before it calls an unheard machine's
-    lease expired; as it may be of the version before, it is never longer than that version's.
+    time, unknown to this leader, still takes effect within cancel_s if no report is answered after the grace period. If
+    the settings leave no room for one, it is 0. A successor waits for its own grace period before it treats the
+    lease of a machine that has not reported to it as expired. As the successor may run the previous version, the grace
+    period is never longer than that version's.
     """
     workers = settings.cluster.workers
-    left = workers.cancel_s / CLOCKS - workers.lease_s * CLOCKS - KILLED * workers.report_s
-    return max(0.0, min(left, GRACE_BEFORE * workers.lease_s))
+    remaining_s = workers.cancel_s / CLOCKS - workers.lease_s * CLOCKS - LEASE_END_REPORT_INTERVALS * workers.report_s
+    return max(0.0, min(remaining_s, MAX_GRACE_LEASES * workers.lease_s))
 
 
 def grace_of(settings: Settings, view: View, member: str) -> float:
-    """The longest that a controller may answer reports after another was elected."""
+    """The longest time for which a controller may answer reports after another was elected."""
     if level_of(view, member) >= CANCELLATION_SYNC:
         return grace_s(settings)
-    return GRACE_BEFORE * settings.cluster.workers.lease_s
+    return MAX_GRACE_LEASES * settings.cluster.workers.lease_s
 
 
 @dataclass
 class Term:
-    """One leader's time in office."""
+    """The time for which one controller is leader under one epoch."""
 
     epoch: int
-    stamp: int  # the epoch key's version: the guard of every write
-    hold: int
-    renewed_at: float  # when the last renewal that succeeded was sent
+    epoch_revision: int  # of the epoch key: the guard of every write
+    lease_id: int
+    renewed_at: float  # when the last successful renewal was sent
     ttl: float
     grace: float
-    known_at: float  # every cancellation that was confirmed before this is surely known here
-    before: dict[str, float] = field(
-        default_factory=dict
-    )  # earlier leaders who may still answer; until what time of day
+    known_at: float  # every cancellation that was confirmed before this is known here
+    # Earlier leaders that may still answer workers, and until what time of day.
+    earlier_leaders: dict[str, float] = field(default_factory=dict)
     over: trio.Event = field(default_factory=trio.Event)
-    resigning: bool = False  # nothing new is begun
-    released: bool = False  # it was ended in order, so that the lease is released at once
+    resigning: bool = False  # takes on nothing new
+    released: bool = False  # ended in order, so the lease is released at once
     earlier: EarlierLeaders = field(default_factory=lambda: EarlierLeaders(-math.inf))
     reach: Callable[[], ReachStatus] = ReachStatus
 
     def authority(self) -> Authority:
-        """What this leader may decide, as of now: ask again after each wait."""
+        """What this leader may decide now; to be asked again after each wait."""
         lease_until = self.renewed_at + self.ttl / CLOCKS
         reach = self.reach()
         return Authority(
@@ -75,24 +75,24 @@
             renewed_at=self.renewed_at,
             ttl=self.ttl,
             lease_until=lease_until,
-            # Guards ``ran_cancelled``: an answer keeps tasks alive for lease_s more, and others confirm cancellations
-            # that this controller, cut off from the state service, may never hear of.
+            # Upholds the rule ``ran_cancelled``: an answer keeps tasks alive for lease_s more, and others may confirm
+            # cancellations that this controller, cut off from the state service, does not learn of.
             answers_until=self.known_at + self.grace if self.grace > 0 else lease_until,
-            cancelled_patience=max(self.grace, self.ttl),
+            cancelled_answer_s=max(self.grace, self.ttl),
             earlier_until=self.earlier.until,
             silence_counts_from=reach.silence_counts_from,
         )
 
     def allows(self, decision: Decision) -> bool:
-        """Whether this leader may decide that now."""
+        """Whether this leader may make the decision now."""
         return self.authority().allows(decision, trio.current_time())
 
-    def knows(self, at: float) -> None:
-        """Every cancellation that was confirmed before this moment is known here."""
+    def note_known(self, at: float) -> None:
+        """Every cancellation that was confirmed before ``at`` is known here."""
         self.known_at = max(self.known_at, at)
 
     def end(self, why: str) -> None:
-        """Step down."""
+        """End the term; the controller is no longer leader."""
         if not self.over.is_set():
             log.info("epoch %d: no longer leader: %s", self.epoch, why)
             self.over.set()
--- a/ladderfield/test_leadership.py
+++ b/ladderfield/test_leadership.py
@@ -1,4 +1,4 @@
-"""Standing still: a candidate and a leader whose clocks ran on while they did nothing."""
+"""Suspended processes: a candidate and a leader whose clocks advanced while they did not run."""
 
 from __future__ import annotations
 
@@ -22,49 +22,49 @@
 from ladderfield.workers.report import Report, TaskReport
 
 
-@pytest.mark.parametrize(("stood_still_s", "elected"), [(0.1, True), (2.1, False)])
-async def test_a_candidate_that_stood_still_does_not_take_office(
-    monkeypatch: pytest.MonkeyPatch, stood_still_s: float, elected: bool
+@pytest.mark.parametrize(("suspended_s", "elected"), [(0.1, True), (2.1, False)])
+async def test_a_suspended_candidate_does_not_become_leader(
+    monkeypatch: pytest.MonkeyPatch, suspended_s: float, elected: bool
 ) -> None:
-    """Its lease may be over, and it may have said meanwhile that it is not leader: a successor counts on that."""
+    """Its lease may have expired, and it may have answered that it is not leader, which a successor relies on."""
     client = StateClient(settings())
     leadership = Leadership(settings(), client, View(client, settings()))
 
-    async def grant(*_: Any) -> int:
+    async def grant_lease(*_: Any) -> int:
         return 1
 
     async def commit(*_: Any) -> Outcome:
-        await trio.sleep(stood_still_s)
+        await trio.sleep(suspended_s)
         return Outcome(5, None)
 
-    monkeypatch.setattr(client, "grant", grant)
+    monkeypatch.setattr(client, "grant_lease", grant_lease)
     monkeypatch.setattr(client, "commit", commit)
     term = await leadership._campaign()
     assert (term is not None) is elected
 
 
-async def test_a_term_that_is_over_renews_nothing_more(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_an_ended_term_is_not_renewed(monkeypatch: pytest.MonkeyPatch) -> None:
     client = StateClient(settings())
     leadership, term = Leadership(settings(), client, View(client, settings())), Term(7, 3, 1, 0.0, 2.0, 17.0, 0.0)
-    touched: list[float] = []
+    renewals: list[float] = []
 
-    async def touch(*_: Any) -> bool:
-        touched.append(trio.current_time())
+    async def renew_lease(*_: Any) -> bool:
+        renewals.append(trio.current_time())
         return True
 
-    monkeypatch.setattr(client, "touch", touch)
+    monkeypatch.setattr(client, "renew_lease", renew_lease)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(leadership._renew, term)
         await trio.sleep(0.7)
         term.end("test")
-    assert len(touched) == 1, "at a quarter of the lease"
+    assert len(renewals) == 1, "at a quarter of the lease"
 
 
-def _report(tick: int, epoch: int = 7) -> Report:
-    return Report("m", "10.9.0.1:90", "m4", "za", False, 1, tick, epoch, None, list[TaskReport]())
+def _report(sequence: int, epoch: int = 7) -> Report:
+    return Report("m", "10.9.0.1:90", "m4", "za", False, 1, sequence, epoch, None, list[TaskReport]())
 
 
-async def test_a_leader_that_stood_still_starts_nothing_and_answers_only_until_its_bound() -> None:
+async def test_a_suspended_leader_starts_nothing_and_answers_only_within_its_bound() -> None:
     client = StateClient(settings())
     leader = Leader(
         settings(),
@@ -87,8 +87,8 @@
         assert len(leader.scheduler.machines["m"].claims) == started
 
 
-async def test_the_epochs_record_fits_the_smaller_limit_whatever_controllers_are_called() -> None:
-    """Earlier leaders on it are a hint: they must never keep the epoch from being raised."""
+async def test_the_epoch_record_fits_the_value_limit_with_any_controller_names() -> None:
+    """The earlier leaders in it only tell a successor where to wait; they must not keep the epoch from being raised."""
     own = settings()
     state = msgspec.convert({"rps": 100, "write_rps": 25, "value_kb": 2, "txn_ops": 5}, StateLimits)
     own = msgspec.structs.replace(own, cluster=msgspec.structs.replace(own.cluster, state=state))
@@ -97,7 +97,7 @@
     until = time.time() + 1000
     before = {f"{n}" + "\u00e9" * 90: until + n for n in range(30)}
     view.data[EPOCH] = ({"epoch": 6, "member": "n1", "before": before}, 4)
-    earlier = Leadership(own, client, view)._earlier()
+    earlier = Leadership(own, client, view)._earlier_leaders()
     record = {"epoch": 7, "member": "n0", "before": earlier}
     assert 5 < len(earlier) < 30 and len(msgspec.json.encode(record)) <= 2 * 1024
-    assert max(before, key=lambda member: before[member]) in earlier, "who may answer longest"
+    assert max(before, key=lambda member: before[member]) in earlier, "the one that may answer longest is kept"
--- a/ladderfield/view.py
+++ b/ladderfield/view.py
@@ -1,7 +1,7 @@
-"""The local view of our keys in the state service, kept up to date by one watch.
+"""The local copy of all keys in the state service, kept up to date by one watch.
 
-All our keys share one prefix, so one watch carries every change, and "the watch has reached ledger N" proves that
-the view holds everything that was true when N was read. That proof is what lets any controller answer a user.
+All keys share one prefix, so one watch carries every change: once it has reached revision N, the view holds everything
+that was true when N was read. This proof lets any controller answer users.
 """
 
 from __future__ import annotations
@@ -15,71 +15,71 @@
 import trio
 
 from ladderfield.settings import Settings
-from ladderfield.state import StateClient, StateServiceError, Watched
+from ladderfield.state import StateClient, StateServiceError, WatchAnswer
 
 log = logging.getLogger(__name__)
 
-WATCH_LAG = 1 / 8  # of report_s: so long a watch may lag behind what is known to exist before it is opened again
-SUBSCRIBER_BATCHES = 16  # batches of changes that may wait for a slow reader
+WATCH_LAG_REPORT_INTERVALS = 1 / 8  # a watch that lags longer behind a known revision is opened again
+MAX_SUBSCRIBER_BATCHES = 16  # batches of changes that wait for a slow subscriber
 
 
 class Change:
-    """One key's change as the view saw it; ``value`` is None for a deletion."""
+    """A change of one key as the view received it; ``value`` is None for a deletion."""
 
-    __slots__ = ("key", "stamp", "value")
+    __slots__ = ("key", "revision", "value")
 
-    def __init__(self, key: str, value: Any, stamp: int) -> None:
-        self.key, self.value, self.stamp = key, value, stamp
+    def __init__(self, key: str, value: Any, revision: int) -> None:
+        self.key, self.value, self.revision = key, value, revision
 
 
 class SharedRead:
-    """One shared read; those who came before it started may use it."""
+    """One read of the revision; all callers that came before it started share it."""
 
-    __slots__ = ("answered", "ledger", "sent_at", "started")
+    __slots__ = ("answered", "revision", "sent_at", "started")
 
     def __init__(self) -> None:
         self.started, self.answered = False, trio.Event()
         self.sent_at = -math.inf
-        self.ledger: int | None = None
+        self.revision: int | None = None
 
 
 class View:
-    """Everything we keep in the state service, as of ``ledger``.
+    """All keys of this cluster in the state service, as of ``revision``.
 
-    Readers look at ``data``; those who need to act on changes take part in ``subscribe``. Only ``run`` changes it.
+    Callers read ``data``, or ``subscribe`` to act on changes. Only ``run`` changes the view.
     """
 
     def __init__(self, client: StateClient, settings: Settings) -> None:
         self.client = client
         self.data: dict[str, tuple[Any, int]] = {}
-        self.ledger = -1
-        self.proven_at = -math.inf  # when the last read was sent that proved the view to be fresh
+        self.revision = -1
+        self.proven_at = -math.inf  # when the last read that proved the view fresh was sent
         self.synced = False
-        self._consistent_from = -1  # what was read in several pages is of one moment only from this revision on
-        self._patience = settings.cluster.workers.report_s / 2
+        self._consistent_from = -1  # pages are read one after the other: a consistent snapshot only from here on
+        self._timeout_s = settings.cluster.workers.report_s / 2
         self._advanced = trio.Event()
         self._restart: trio.CancelScope | None = None
-        self._watch_at = -math.inf
-        self._watch_lag_s = WATCH_LAG * settings.cluster.workers.report_s
+        self._watch_started_at = -math.inf
+        self._watch_lag_s = WATCH_LAG_REPORT_INTERVALS * settings.cluster.workers.report_s
         self._subscribers: list[trio.MemorySendChannel[list[Change]]] = []
-        self.followers: list[Callable[[Change], None]] = []  # told of each change as soon as ``data`` has it
+        self.listeners: list[Callable[[Change], None]] = []  # called with each change once ``data`` has it
         self._read_wanted = trio.Event()
         self._shared_read: SharedRead | None = None
 
     def get(self, key: str) -> Any:
-        """A key's value, or None."""
+        """The value of a key, or None."""
         found = self.data.get(key)
         return None if found is None else found[0]
 
-    def stamp(self, key: str) -> int:
-        """A key's version, 0 if absent: what a guard wants."""
+    def revision_of(self, key: str) -> int:
+        """The revision of a key, 0 if it is absent: the value for a guard."""
         found = self.data.get(key)
         return 0 if found is None else found[1]
 
     @asynccontextmanager
     async def subscribe(self) -> AsyncIterator[trio.MemoryReceiveChannel[list[Change]]]:
-        """Batches of changes from now on. A slow reader holds the view back instead of losing changes."""
-        send, receive = trio.open_memory_channel[list[Change]](SUBSCRIBER_BATCHES)
+        """Batches of changes from now on. A slow subscriber blocks the view instead of losing changes."""
+        send, receive = trio.open_memory_channel[list[Change]](MAX_SUBSCRIBER_BATCHES)
         self._subscribers.append(send)
         try:
             yield receive
@@ -88,47 +88,49 @@
             receive.close()
 
     async def run(self) -> None:
-        """Follow the service for ever."""
-        told = False
+        """Follow the state service until cancelled."""
+        logged = False
         while True:
             try:
                 await self._load()
-                told = False
-                while await self._follow():
+                logged = False
+                while await self._watch_once():
                     pass
             except StateServiceError as error:
-                log.log(logging.DEBUG if told else logging.INFO, "the view waits: %s", error)
-                told = True
-                await trio.sleep(self._patience / 4)
+                log.log(logging.DEBUG if logged else logging.INFO, "the view can't be updated, retrying: %s", error)
+                logged = True
+                await trio.sleep(self._timeout_s / 4)
 
     async def _load(self) -> None:
-        """Read all keys. Changes made while paging come again by the watch, which starts at the first page."""
+        """Read all keys. Changes made while paging arrive by the watch, which starts at the first page's revision."""
         data: dict[str, tuple[Any, int]] = {}
-        after, first = "", None
+        after_key, first_revision = "", None
         while True:
-            page = await self.client.page(after, self._patience * 4)
-            first = page.ledger if first is None else first
+            page = await self.client.page(after_key, self._timeout_s * 4)
+            first_revision = page.revision if first_revision is None else first_revision
             for pair in page.pairs:
-                after = pair.key
-                data[after] = (pair.value, pair.stamp)
-            if not page.more or not page.pairs:
+                after_key = pair.key
+                data[after_key] = (pair.value, pair.revision)
+            if not page.has_more or not page.pairs:
                 break
-        changes = [Change(key, value, stamp) for key, (value, stamp) in data.items() if self.stamp(key) != stamp]
-        changes += [Change(key, None, first) for key in self.data if key not in data]
+        changes = [
+            Change(key, value, revision) for key, (value, revision) in data.items() if self.revision_of(key) != revision
+        ]
+        changes += [Change(key, None, first_revision) for key in self.data if key not in data]
         self.data = data
-        self._consistent_from = page.ledger
+        self._consistent_from = page.revision
         self.synced = True
-        await self._reached(first, changes)
+        await self._advance(first_revision, changes)
 
-    async def _follow(self) -> bool:
-        """One watch; False when the view has to be read anew."""
+    async def _watch_once(self) -> bool:
+        """Wait for one answer of the watch; False if all keys have to be read again."""
         try:
             with trio.CancelScope() as scope:
-                self._restart, self._watch_at = scope, trio.current_time()
-                answer = await self.client.watch(self.ledger, self._patience * 10)
+                self._restart, self._watch_started_at = scope, trio.current_time()
+                answer = await self.client.watch(self.revision, self._timeout_s * 10)
         except StateServiceError as error:
-            log.debug("watch: %s", error)
-            await trio.sleep(self._patience / 4)
+            log.debug("watch failed: %s", error)
+            await trio.sleep(self._timeout_s / 4)
             return True
         finally:
             self._restart = None
@@ -136,28 +138,28 @@
             return True
         if answer is None:
             return False
-        await self._reached(max(answer.ledger, self.ledger), self._apply(answer))
+        await self._advance(max(answer.revision, self.revision), self._apply(answer))
         return True
 
-    def _apply(self, answer: Watched) -> list[Change]:
-        """Take a watch's events into ``data``."""
+    def _apply(self, answer: WatchAnswer) -> list[Change]:
+        """Apply the events of a watch to ``data``."""
         changes = []
         for event in answer.events:
             if event.put is not None:
-                changes.append(Change(event.put, event.value, event.stamp))
-                self.data[event.put] = (event.value, event.stamp)
+                changes.append(Change(event.put, event.value, event.revision))
+                self.data[event.put] = (event.value, event.revision)
             elif event.delete is not None:
-                changes.append(Change(event.delete, None, event.stamp))
+                changes.append(Change(event.delete, None, event.revision))
                 self.data.pop(event.delete, None)
         return changes
 
-    async def _reached(self, ledger: int, changes: list[Change]) -> None:
+    async def _advance(self, revision: int, changes: list[Change]) -> None:
         for change in changes:
-            for follower in self.followers:
-                follower(change)
-        if ledger > self.ledger:
-            self._watch_lag_s = WATCH_LAG * 2 * self._patience
-        self.ledger = ledger
+            for listener in self.listeners:
+                listener(change)
+        if revision > self.revision:
+            self._watch_lag_s = WATCH_LAG_REPORT_INTERVALS * 2 * self._timeout_s
+        self.revision = revision
         self._advanced.set()
         self._advanced = trio.Event()
         if changes:
@@ -167,36 +169,40 @@
                 except trio.BrokenResourceError:
                     continue
 
-    async def reach(self, ledger: int) -> None:
+    async def wait_for_revision(self, revision: int) -> None:
         """Wait until the view holds everything up to a revision.
 
-        A watch's connection may be dead without an error, or held up while all else goes through. So a watch that
-        has not brought what is known to exist is opened again, well within the time that a poll waits; if that
-        does not help either, the service is slow, and the next one is given longer.
+        The connection of a watch may be dead without an error, or stalled while others work. So a watch that has not
+        brought a revision that is known to exist is opened again, well within the time that a poll waits. If that does
+        not help, the service is slow, and the next watch is given longer.
         """
-        while not self._holds(ledger):
+        while not self._has_consistent(revision):
             with trio.move_on_after(self._watch_lag_s):
-                while not self._holds(ledger):
+                while not self._has_consistent(revision):
                     await self._advanced.wait()
-            if not self._holds(ledger) and self._restart is not None and self._watched_for() >= self._watch_lag_s:
-                self._watch_lag_s = min(self._watch_lag_s * 2, self._patience * 2)
+            if (
+                not self._has_consistent(revision)
+                and self._restart is not None
+                and self._watch_age() >= self._watch_lag_s
+            ):
+                self._watch_lag_s = min(self._watch_lag_s * 2, self._timeout_s * 2)
                 self._restart.cancel()
 
-    def _holds(self, ledger: int) -> bool:
-        """Whether the view is that of one moment, not before a revision.
+    def _has_consistent(self, revision: int) -> bool:
+        """Whether the view is a consistent snapshot that is not older than a revision.
 
-        Between two pages that were read a job may have ended and been cleared away: the first lacks its end, the second
-        its record, and it would seem unknown.
+        Between the reads of two pages a job may end and its record be deleted: the first page lacks its final state,
+        the second its record, and the job would seem unknown.
         """
-        return self.ledger >= max(ledger, self._consistent_from)
+        return self.revision >= max(revision, self._consistent_from)
 
-    def _watched_for(self) -> float:
-        return trio.current_time() - self._watch_at
+    def _watch_age(self) -> float:
+        return trio.current_time() - self._watch_started_at
 
     async def fresh(self, timeout: float) -> bool:
-        """Wait until the view surely holds all that was true when this was called; False if that can't be shown.
+        """Wait until the view holds all that was true when this was called; False if that can't be shown in time.
 
-        All that ask while a read is under way share the next one: a burst of polls costs one read.
+        All callers that arrive during a read share the next one, so that a burst of polls costs one read.
         """
         if not self.synced:
             return False
@@ -206,9 +212,9 @@
             self._read_wanted.set()
         with trio.move_on_after(timeout):
             await read.answered.wait()
-            if read.ledger is None:
+            if read.revision is None:
                 return False
-            await self.reach(read.ledger)
+            await self.wait_for_revision(read.revision)
             self.proven_at = max(self.proven_at, read.sent_at)
             return True
         return False
@@ -224,7 +230,7 @@
             await self.client.calls.take()
             read.started, read.sent_at = True, trio.current_time()
             try:
-                read.ledger = await self.client.ledger(self._patience)
+                read.revision = await self.client.read_revision(self._timeout_s)
             except StateServiceError as error:
-                log.debug("no fresh view: %s", error)
+                log.debug("could not read the revision: %s", error)
             read.answered.set()
