--- a/benchmarks/leader_load.py
+++ b/benchmarks/leader_load.py
@@ -107,7 +107,7 @@
         try:
             await client.call("POST", "/api/jobs", spec, 5.0)
         except NoAnswerError:
-            await client.drop()
+            await client.close_idle()
         await trio.sleep(JOB_EVERY_S)
 
 
--- a/ladderfield/cancellation_sync.py
+++ b/ladderfield/cancellation_sync.py
@@ -25,7 +25,7 @@
 
 import trio
 
-from ladderfield.clocks import CLOCKS
+from ladderfield.clocks import CLOCK_DRIFT_FACTOR
 from ladderfield.jobs.cancellations import Cancellations
 from ladderfield.jobs.model import valid_uid
 from ladderfield.leadership import Leadership
@@ -54,8 +54,8 @@
         self.epoch, uptime_s, proven_s = ANSWER.unpack_from(body)
         if not (uptime_s >= 0 and proven_s >= 0 and math.isfinite(uptime_s)):
             raise MalformedAnswerError("the answer holds an invalid age")
-        self.began_at = now - uptime_s / CLOCKS  # at the latest
-        self.proven_at = asked_at - proven_s * CLOCKS  # at the earliest
+        self.began_at = now - uptime_s / CLOCK_DRIFT_FACTOR  # at the latest
+        self.proven_at = asked_at - proven_s * CLOCK_DRIFT_FACTOR  # at the earliest
         self.uids = parse_uids(body[ANSWER.size :])
 
 
--- a/ladderfield/connectivity/prober.py
+++ b/ladderfield/connectivity/prober.py
@@ -84,7 +84,7 @@
         """Probe one worker. Any answer counts."""
         answered = False
         try:
-            await Client(*address(endpoint), keep=0).call("GET", "/show", None, self._interval_s())
+            await Client(*address(endpoint), max_idle=0).call("GET", "/show", None, self._interval_s())
             answered = True
         except (NoAnswerError, ValueError) as error:
             log.debug("no answer from %s in %s: %s", endpoint, zone, error)
--- a/ladderfield/connectivity/test_authority.py
+++ b/ladderfield/connectivity/test_authority.py
@@ -5,7 +5,7 @@
 import pytest
 import trio
 
-from ladderfield.clocks import CLOCKS
+from ladderfield.clocks import CLOCK_DRIFT_FACTOR
 from ladderfield.connectivity.authority import (
     ALWAYS,
     MIN_ELECTION_INTERVAL_SHARE,
@@ -31,7 +31,7 @@
 def test_new_orders_need_the_lease() -> None:
     authority = term().authority()
     for decision in NEEDS_LEASE:
-        assert authority.verdict(decision).until == pytest.approx(100.0 + TTL / CLOCKS)
+        assert authority.verdict(decision).until == pytest.approx(100.0 + TTL / CLOCK_DRIFT_FACTOR)
         assert authority.allows(decision, 101.9) and not authority.allows(decision, 102.0)
 
 
--- a/ladderfield/fleet/cloud.py
+++ b/ladderfield/fleet/cloud.py
@@ -59,7 +59,7 @@
             answer = decode_object(data) if data else {}
         except NoAnswerError as error:
             self.observe(Exchange.LOST)
-            await self._client.drop()
+            await self._client.close_idle()
             raise CloudError(str(error)) from None
         self.observe(exchange_for_status(status))
         if status == 429:
--- a/ladderfield/jobs/cancel.py
+++ b/ladderfield/jobs/cancel.py
@@ -50,7 +50,7 @@
                 if (not_found := await self._unknown_job_reply(uid, deadline)) is not None:
                     return not_found
                 continue
-            if not await self.client.writes.take(patience=MAX_QUEUE_DELAY_S):
+            if not await self.client.writes.take(max_wait_s=MAX_QUEUE_DELAY_S):
                 return unavailable(1)
             outcome = await self._write(uid)
             if outcome is None:
--- a/ladderfield/leader/dispatcher.py
+++ b/ladderfield/leader/dispatcher.py
@@ -60,7 +60,7 @@
         """Close the connection to a deleted machine."""
         client = self._clients.pop(host, None)
         if client is not None:
-            self.nursery.start_soon(client.drop)
+            self.nursery.start_soon(client.close_idle)
 
     def may_be_unreachable(self, machine: Machine, now: float) -> bool:
         """Whether the machine's report is overdue or it does not receive our answers."""
@@ -118,7 +118,7 @@
         executed, report = False, None
         client = self._clients.pop(host, None)
         try:
-            client = client or Client(*address(machine.endpoint), keep=1)
+            client = client or Client(*address(machine.endpoint), max_idle=1)
             self._clients[host] = client
             body = OrdersRequest(self.term.epoch, target_session, orders)
             status, data = await client.call("POST", "/orders", body, PUSH_TIMEOUT_REPORT_INTERVALS * self.report_s)
@@ -129,7 +129,7 @@
             log.debug("machine %s: push failed: %s", host, error)
             self._clients.pop(host, None)
         if client is not None and client is not self._clients.get(host):
-            await client.drop()
+            await client.close_idle()
         await self._close_oldest_connections()
         await self.inbox.send(OrdersAnswered(host, attempts, executed, report))
 
@@ -137,4 +137,4 @@
         """Close the least recently used connections beyond the limit, as workers and users need the rest."""
         while len(self._clients) > self.max_kept_connections:
             oldest = next(iter(self._clients))
-            await self._clients.pop(oldest).drop()
+            await self._clients.pop(oldest).close_idle()
--- a/ladderfield/leader/failure_detector.py
+++ b/ladderfield/leader/failure_detector.py
@@ -8,7 +8,7 @@
 import logging
 import math
 
-from ladderfield.clocks import CLOCKS
+from ladderfield.clocks import CLOCK_DRIFT_FACTOR
 from ladderfield.connectivity.authority import Decision
 from ladderfield.connectivity.reachability import WINDOW_REPORT_INTERVALS
 from ladderfield.leader.tables import SILENCE_REPORT_INTERVALS, LeaderTables
@@ -107,7 +107,7 @@
         if cut and not machine.replicas:
             # Keeps the machines of a zone whose partition heals: their tasks are restarted elsewhere once the lease has
             # expired, and waiting for the machine costs no more than booting another.
-            silence_limit_s = max(silence_limit_s, tables.lease_s * CLOCKS + machine.kind.boot_s)
+            silence_limit_s = max(silence_limit_s, tables.lease_s * CLOCK_DRIFT_FACTOR + machine.kind.boot_s)
         if machine.first_report_at is None:
             # An earlier leader may still be answering the machine, whose tasks would then run well: deleting it would
             # kill them.
@@ -124,7 +124,7 @@
         It may come back, but its capacity can't be counted on.
         """
         silent = machine.silent_for(now, self.tables.term_from)
-        return machine.zone in self.cut_zones and silent > self.tables.lease_s * CLOCKS
+        return machine.zone in self.cut_zones and silent > self.tables.lease_s * CLOCK_DRIFT_FACTOR
 
     def is_clearly_healthy(self, machine: Machine, now: float) -> bool:
         """A cheap check that spares most of the fleet the full one: the machine needs no decision in this sweep."""
--- a/ladderfield/leader/preemption.py
+++ b/ladderfield/leader/preemption.py
@@ -77,7 +77,7 @@
     def preempt_within_team_limit(self, job: Job, now: float) -> None:
         """Preempt a team's lower ranks for its own production replica that the team's limit would block."""
         teams, spec = self.tables.teams, job.spec
-        excess_cpus = teams.over_limit(spec)
+        excess_cpus = teams.cpus_over_limit(spec)
         own = [
             claim
             for machine in self.tables.machines.values()
@@ -108,7 +108,7 @@
             return spec.team != job.spec.team and not spec.service and borrowed_cpus.get(spec.team, 0.0) >= spec.cpus
 
         for claim in self._clear(
-            job, machines, reclaimable, 1.0, min(job.queued, teams.owed(job.spec)), now, once=True
+            job, machines, reclaimable, 1.0, min(job.queued, teams.tasks_within_guarantee(job.spec)), now, once=True
         ):
             borrowed_cpus[claim.job.spec.team] -= claim.job.spec.cpus
 
--- a/ladderfield/leader/tables.py
+++ b/ladderfield/leader/tables.py
@@ -18,7 +18,7 @@
 from ladderfield.queues.pick import Queues
 from ladderfield.queues.work import Claim, Job, Record, task_name
 from ladderfield.settings import Settings
-from ladderfield.table_sizes import most_entries
+from ladderfield.table_sizes import max_table_entries
 from ladderfield.teams import Teams
 from ladderfield.workers.machine import Machine
 from ladderfield.zones.policy import ZonePolicy
@@ -53,7 +53,7 @@
         self.deleted_hosts: dict[str, None] = {}  # their late reports are ignored
         self.teams = Teams(settings.cluster.teams)
         self.queues = Queues()
-        self.max_remembered = most_entries(settings)  # entries of deleted_hosts and of reported_cancellations
+        self.max_remembered = max_table_entries(settings)  # entries of deleted_hosts and of reported_cancellations
         self.types: dict[str, MachineType] = {}
         self.cancelled_at: dict[str, float] = {}
         self.reported_cancellations: dict[str, float] = {}  # job -> when, until its record is seen
--- a/ladderfield/leader/test_failure_detector.py
+++ b/ladderfield/leader/test_failure_detector.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from ladderfield.clocks import CLOCKS
+from ladderfield.clocks import CLOCK_DRIFT_FACTOR
 from ladderfield.connectivity.authority import Authority
 from ladderfield.testing.leader import SchedulerHarness, inherited, launched, rung
 
 
 def test_claims_of_a_silent_machine_last_until_earlier_leaders_answers_expire() -> None:
     harness = SchedulerHarness(inherited())
-    expires_at = (36.0 + 12.0) * CLOCKS
+    expires_at = (36.0 + 12.0) * CLOCK_DRIFT_FACTOR
     harness.scheduler.sweep(expires_at - 0.1)
     assert harness.machine().claims
     harness.scheduler.sweep(expires_at + 0.1)
@@ -21,7 +21,7 @@
     harness.scheduler.earlier.confirm_none_left(harness.scheduler.epoch, 3.0)
     harness.scheduler.sweep(3.0 + 12.0)
     assert harness.machine().claims, "an earlier leader may have renewed the lease until then"
-    harness.scheduler.sweep(3.0 + 12.0 * CLOCKS + 0.01)
+    harness.scheduler.sweep(3.0 + 12.0 * CLOCK_DRIFT_FACTOR + 0.01)
     assert not harness.machine().claims
 
 
@@ -31,7 +31,7 @@
     harness.report(now=5.0, rungs=(rung(0, harness.machine().claims["req-000001", 0].attempt),))
     harness.scheduler.sweep(5.0 + 12.0)
     assert harness.machine().claims
-    harness.scheduler.sweep(5.0 + 12.0 * CLOCKS + 0.01)
+    harness.scheduler.sweep(5.0 + 12.0 * CLOCK_DRIFT_FACTOR + 0.01)
     assert not harness.machine().claims
 
 
--- a/ladderfield/leader/test_large_fleet.py
+++ b/ladderfield/leader/test_large_fleet.py
@@ -10,7 +10,7 @@
 from ladderfield.leader.messages import MachinesListed, Message
 from ladderfield.leadership import Leadership
 from ladderfield.peers import Peer, PeerLink
-from ladderfield.server import USERS_SHARE
+from ladderfield.server import USER_CONNECTIONS_SHARE
 from ladderfield.state import StateClient
 from ladderfield.testing.scripted_fleet import LEASE_S, ScriptedFleet, ScriptedWorker, fleet_settings
 from ladderfield.view import View
@@ -46,7 +46,7 @@
 async def test_the_inbox_holds_a_report_of_every_connection() -> None:
     own = fleet_settings(MACHINES)
     sockets = own.cluster.quota.max_connections
-    assert int(sockets * USERS_SHARE) >= MACHINES
+    assert int(sockets * USER_CONNECTIONS_SHARE) >= MACHINES
     assert ScriptedFleet(MACHINES).leader.inbox_size >= sockets
 
 
--- a/ladderfield/leader/test_placement.py
+++ b/ladderfield/leader/test_placement.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from ladderfield.clocks import CLOCKS
+from ladderfield.clocks import CLOCK_DRIFT_FACTOR
 from ladderfield.testing import accepted, job
 from ladderfield.testing.leader import EPOCH_NOW, SchedulerHarness, launched, rung
 
-LEASE_S = 12.0 * CLOCKS
+LEASE_S = 12.0 * CLOCK_DRIFT_FACTOR
 GRACE_S = 36.0  # how long an earlier leader may answer reports
 
 
--- a/ladderfield/leader/test_size.py
+++ b/ladderfield/leader/test_size.py
@@ -12,7 +12,7 @@
 from ladderfield.leader.actor import Leader
 from ladderfield.peers import max_back_connections
 from ladderfield.queues.pick import Queues
-from ladderfield.server import USERS_SHARE
+from ladderfield.server import USER_CONNECTIONS_SHARE
 from ladderfield.state import StateClient
 from ladderfield.term import Term
 from ladderfield.testing import settings
@@ -78,7 +78,7 @@
     client = StateClient(own)
     term = Term(7, 3, 1, 0.0, 2.0, 17.0, 0.0)
     leader = Leader(own, term, client, View(client, own), Cloud(own), DependencyGraph(lambda key: None))
-    worker_sockets, peer_sockets = int(sockets * USERS_SHARE), max_back_connections(sockets)
+    worker_sockets, peer_sockets = int(sockets * USER_CONNECTIONS_SHARE), max_back_connections(sockets)
     assert machines + 100 <= worker_sockets, "workers and 100 users"
     assert peer_sockets // peers >= 16, "connections to relay reports to each peer"
     outgoing = leader.dispatcher.max_kept_connections + leader.dispatcher.max_pushes + peer_sockets // peers * peers
--- a/ladderfield/leader/writer.py
+++ b/ladderfield/leader/writer.py
@@ -44,7 +44,7 @@
             self.unanswered = False
             await self.inbox.send(answered)
             # The next transaction is built only when it can be sent, so that it holds everything collected until then.
-            await self.client.leader_writes.ready(self._min_ready_writes)
+            await self.client.leader_writes.wait_until_available(self._min_ready_writes)
             await self.inbox.send(WriterReady())
 
     async def _write(self, txn: Transaction) -> TransactionAnswered:
--- a/ladderfield/state.py
+++ b/ladderfield/state.py
@@ -76,7 +76,7 @@
         limits, size = settings.cluster.state, settings.cluster.size
         host, port = address(settings.outside.state)
         self._client = Client(host, port)
-        self._watcher = Client(host, port, keep=1)
+        self._watcher = Client(host, port, max_idle=1)
         # Nearly half of the writes is for the leader, half is shared by the jobs APIs of the controllers. Every change
         # wakes the watches of all controllers, so they have a share of the calls of their own; a tenth is left for
         # lease renewals.
@@ -99,7 +99,7 @@
             answer = decode_object(data) if data else {}
         except NoAnswerError as error:
             self.observe(_link_of(method, target), Exchange.LOST)
-            await client.drop()
+            await client.close_idle()
             raise StateServiceError(str(error)) from None
         self.observe(_link_of(method, target), exchange_for_status(status))
         if status == 429:
--- a/ladderfield/term.py
+++ b/ladderfield/term.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from ladderfield.clocks import CLOCKS
+from ladderfield.clocks import CLOCK_DRIFT_FACTOR
 from ladderfield.connectivity.authority import Authority, Decision
 from ladderfield.connectivity.earlier_leaders import EarlierLeaders
 from ladderfield.connectivity.reachability import ReachStatus
@@ -33,7 +33,11 @@
     period is never longer than that version's.
     """
     workers = settings.cluster.workers
-    remaining_s = workers.cancel_s / CLOCKS - workers.lease_s * CLOCKS - LEASE_END_REPORT_INTERVALS * workers.report_s
+    remaining_s = (
+        workers.cancel_s / CLOCK_DRIFT_FACTOR
+        - workers.lease_s * CLOCK_DRIFT_FACTOR
+        - LEASE_END_REPORT_INTERVALS * workers.report_s
+    )
     return max(0.0, min(remaining_s, MAX_GRACE_LEASES * workers.lease_s))
 
 
@@ -65,7 +69,7 @@
 
     def authority(self) -> Authority:
         """What this leader may decide now; to be asked again after each wait."""
-        lease_until = self.renewed_at + self.ttl / CLOCKS
+        lease_until = self.renewed_at + self.ttl / CLOCK_DRIFT_FACTOR
         reach = self.reach()
         return Authority(
             condition=reach.condition,
--- a/ladderfield/testing/cluster.py
+++ b/ladderfield/testing/cluster.py
@@ -92,7 +92,7 @@
 
     async def call(self, node: int, method: str, path: str, body: Any = None) -> tuple[int, dict[str, Any]]:
         """A user's request."""
-        client = Client(f"10.0.0.{node + 1}", 80, keep=0)
+        client = Client(f"10.0.0.{node + 1}", 80, max_idle=0)
         status, data = await client.call(method, path, body, 5.0)
         return status, msgspec.json.decode(data)
 
--- a/ladderfield/testing/loopback_links.py
+++ b/ladderfield/testing/loopback_links.py
@@ -162,7 +162,7 @@
     async def call(self, node: int, method: str, path: str, body: Any = None) -> tuple[int, dict[str, Any]]:
         """A user's request at a controller."""
         host, _, port = self.addresses.front[node].partition(":")
-        status, data = await Client(host, int(port), keep=0).call(method, path, body, 2.0)
+        status, data = await Client(host, int(port), max_idle=0).call(method, path, body, 2.0)
         return status, msgspec.json.decode(data)
 
     def unbacked_starts(self) -> list[str]:
--- a/ladderfield/testing/loopback_zones.py
+++ b/ladderfield/testing/loopback_zones.py
@@ -83,7 +83,7 @@
     async def submit(self, uid: str, **changes: Any) -> None:
         """Submit a job that has to be accepted."""
         self.specs[uid] = job(uid, **{"owner": "blue", "loaners": False} | changes)
-        client = Client("127.0.0.1", self.ports[0], keep=0)
+        client = Client("127.0.0.1", self.ports[0], max_idle=0)
         for _ in range(ATTEMPTS):
             try:
                 status, _ = await client.call("POST", "/api/jobs", self.specs[uid], 2.0)
--- a/ladderfield/testing/worker.py
+++ b/ladderfield/testing/worker.py
@@ -143,7 +143,7 @@
                 continue
             host, _, port = self.controllers[node].partition(":")
             sent, tenure = trio.current_time(), self.tenure
-            client = Client(host, int(port), keep=0)
+            client = Client(host, int(port), max_idle=0)
             self.sent.append(self.body())
             try:
                 status, data = await client.call("POST", "/v1/report", self.sent[-1], 4.0)
--- a/ladderfield/workers/machine.py
+++ b/ladderfield/workers/machine.py
@@ -6,7 +6,7 @@
 from collections import deque
 from typing import Any
 
-from ladderfield.clocks import CLOCKS
+from ladderfield.clocks import CLOCK_DRIFT_FACTOR
 from ladderfield.jobs.model import JobSpec, MachineType, fits
 from ladderfield.queues.work import Claim, Job, TaskId
 
@@ -201,7 +201,7 @@
         last = max(term_from, self.answered_at or term_from, self.last_report_at or term_from)
         if self.epoch != epoch:
             last = max(last, others_until)
-        return last + lease_s * CLOCKS
+        return last + lease_s * CLOCK_DRIFT_FACTOR
 
     def set_details(self, endpoint: str, kind: MachineType, zone: str, spot: bool) -> None:
         """Fill in the details of a machine from the cloud's list or a report; a claim may have given only its name."""
--- a/ladderfield/workers/report_handler.py
+++ b/ladderfield/workers/report_handler.py
@@ -18,7 +18,7 @@
 from ladderfield.leadership import Leadership
 from ladderfield.peers import RELAY, PeerAnswer, PeerLink
 from ladderfield.settings import Settings
-from ladderfield.table_sizes import most_entries
+from ladderfield.table_sizes import max_table_entries
 from ladderfield.workers.report import ANSWER_TIMEOUT_S, Report, parse_report
 
 log = logging.getLogger(__name__)
@@ -42,7 +42,7 @@
         self._redirected_at: OrderedDict[str, float] = OrderedDict()  # worker -> when it was redirected to the leader
         self._relayed_until: OrderedDict[str, float] = OrderedDict()  # worker -> until when its reports are relayed
         self._newest_report: OrderedDict[str, tuple[int, int]] = OrderedDict()  # worker -> session and sequence number
-        self._max_remembered = most_entries(settings)  # workers in each of these tables
+        self._max_remembered = max_table_entries(settings)  # workers in each of these tables
         self._warned = False
 
     async def __call__(self, request: Request) -> Reply | None:
