--- a/ladderfield/__init__.py
+++ b/ladderfield/__init__.py
@@ -1,3 +1,3 @@
-"""ladderfield: a cluster scheduler that survives the loss of its controllers, zones and outside services."""
+"""ladderfield: a cluster scheduler that tolerates the loss of controllers, zones and external services."""
 
 __version__ = "0.1.0"
--- a/ladderfield/__main__.py
+++ b/ladderfield/__main__.py
@@ -1,4 +1,4 @@
-"""``python3 -m ladderfield``."""
+"""Entry point of ``python3 -m ladderfield``."""
 
 from ladderfield.cli import main
 
--- a/ladderfield/cli.py
+++ b/ladderfield/cli.py
@@ -1,4 +1,4 @@
-"""The ``ladderfield`` command; ``serve`` is the daemon, and a client's verbs would stand beside it."""
+"""The ``ladderfield`` command, with ``serve`` to run a controller."""
 
 from __future__ import annotations
 
@@ -40,48 +40,51 @@
 )
 @click.option(
     options.ORDER,
-    help="Order in which priorities return to a zone that was lost, as production,urgent+standard,best_effort. "
-    "Turns the order of returns on.",
+    help="Order in which priorities return to a zone that was lost, for example "
+    "production,urgent+standard,best_effort. Turns ordered returns on.",
 )
 @click.option(
     options.ZONE_ORDER,
     nargs=2,
     multiple=True,
     metavar="ZONE ORDER",
-    help="Another order for one zone.",
+    help="Order for one zone, in place of the general one.",
 )
 @click.option(
     options.PROBATION,
     type=float,
     metavar="SECONDS",
-    help="How long a zone that comes back has to be steady before batch work returns.  [default: 4 report intervals]",
+    help="How long a recovered zone has to be stable before batch work returns to it.  [default: 4 report intervals]",
 )
 @click.option(
     options.WINDOW,
     nargs=4,
     multiple=True,
     metavar="NAME DAYS FROM TO",
-    help="A window in which the probation is twice as long, as billing mon,tue 06:00 09:00. "
+    help="Window in which the probation is twice as long, for example billing mon,tue 06:00 09:00. "
     "Days: daily, mon to sun, dates, monday-after-holiday.",
 )
-@click.option(options.TIME_ZONE, metavar="NAME", help="Time zone of the windows, as Asia/Kuala_Lumpur.")
-@click.option(options.HOLIDAYS, metavar="COUNTRY", help="Whose public holidays count, as MY or MY-10.")
+@click.option(options.TIME_ZONE, metavar="NAME", help="Time zone of the windows, for example Asia/Kuala_Lumpur.")
+@click.option(
+    options.HOLIDAYS, metavar="COUNTRY", help="Country or region whose public holidays count, for example MY or MY-10."
+)
 @click.option(
     reach_options.BY_REACH_FLAG,
     is_flag=True,
-    help="A leader that no worker reaches makes way for a controller that workers do reach.",
+    help="A leader that no worker can reach resigns in favour of a controller that workers can reach.",
 )
 @click.option(
     reach_options.MINIMUM_TERM_FLAG,
     type=float,
     metavar="SECONDS",
-    help="No leader makes way earlier.  [default: a worker's lease]",
+    help="Shortest time after its election at which a leader resigns.  [default: a worker's lease]",
 )
 @click.option(
     reach_options.CANDIDACY_DELAY_FLAG,
     type=float,
     metavar="SECONDS",
-    help="How long a controller that reaches no worker lets others go first.  [default: 2 report intervals]",
+    help="How long a controller that can't reach workers waits for others to be elected first.  "
+    "[default: 2 report intervals]",
 )
 def serve(
     config: Path,
@@ -110,9 +113,10 @@
     except (SettingsError, FlagError) as error:
         click.echo(f"ladderfield: {error}", err=True)
         raise SystemExit(2) from None
-    from ladderfield.server import serve as run  # the settings are checked before the slow imports
+    # Imported here, so that wrong settings are reported before the slow imports.
+    from ladderfield.server import serve as run
 
-    # What exists now lives as long as the process: no later collection should walk it again.
+    # Objects that exist now live as long as the process; exclude them from later garbage collections.
     gc.collect()
     gc.freeze()
     trio.run(run, settings, zone_options, reach)
--- a/ladderfield/clocks.py
+++ b/ladderfield/clocks.py
@@ -1,3 +1,3 @@
-"""How far the clocks of two machines may drift apart."""
+"""Bound on the drift between the clocks of two machines."""
 
-CLOCKS = 1.002  # steady clocks drift apart by up to 0.05% each way; twice that, for rounding
+CLOCK_DRIFT_FACTOR = 1.002  # monotonic clocks are off by up to 0.05% each, 0.1% together; doubled for rounding
--- a/ladderfield/flags.py
+++ b/ladderfield/flags.py
@@ -1,10 +1,10 @@
-"""Operators' flags that can't be used."""
+"""The error for invalid command-line flags."""
 
 from __future__ import annotations
 
 
 class FlagError(Exception):
-    """A flag can't be used; the text is one line that names it."""
+    """A flag has an invalid value; the message is one line that names the flag."""
 
-    def __init__(self, flag: str, why: str) -> None:
-        super().__init__(f"{flag}: {why}")
+    def __init__(self, flag: str, reason: str) -> None:
+        super().__init__(f"{flag}: {reason}")
--- a/ladderfield/http.py
+++ b/ladderfield/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 over trio: the one server, which httptools parses for, and the one client of this program, on h11."""
+"""HTTP/1.1 on trio: the server, which parses with httptools, and the client, which uses h11."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 log = logging.getLogger(__name__)
 
-BODY_LIMIT = 64 * 1024  # the protocol's bound on a request body
-HEAD_LIMIT = 16 * 1024  # of all before the body
-CROWDED = 0.95  # of the connections a server may have: above, none is kept open
+MAX_BODY_BYTES = 64 * 1024  # of a request, by the protocol
+MAX_HEADER_BYTES = 16 * 1024  # of a request, all header fields together
+KEEP_ALIVE_SHARE = 0.95  # of max_connections; with more open, each connection is closed after its reply
 PHRASES = {status.value: status.phrase for status in HTTPStatus}
-READ_SIZE = 32 * 1024
+READ_BYTES = 32 * 1024
 encode = msgspec.json.encode
 
 
@@ -34,7 +34,7 @@
 
 
 class Reply:
-    """What a handler answers; ``retry_after`` tells a turned-away client when to come back."""
+    """A handler's response; ``retry_after`` tells a rejected client in how many seconds to retry."""
 
     __slots__ = ("body", "close", "retry_after", "status")
 
@@ -46,70 +46,79 @@
 Handler = Callable[[Request], Awaitable[Reply]]
 
 
-class Reader:
-    """Takes a connection's bytes in and gives whole requests out; the parser calls it back."""
+class RequestReader:
+    """Collects complete requests from the bytes of one connection, through the parser's callbacks."""
 
-    __slots__ = ("_body", "_head", "_path", "_unfinished", "parser", "refused", "requests", "waits")
+    __slots__ = (
+        "_body",
+        "_header_bytes",
+        "_path",
+        "_pending_bytes",
+        "error_status",
+        "expects_continue",
+        "parser",
+        "requests",
+    )
 
     def __init__(self) -> None:
         self.parser = httptools.HttpRequestParser(self)
-        self.requests: deque[tuple[Request, bool]] = deque()  # and whether the connection stays open after it
-        self.refused = 0  # the status for bytes that are no request that can be served
-        self.waits = False  # the peer waits for a 100 before it sends the body
+        self.requests: deque[tuple[Request, bool]] = deque()  # with whether the connection stays open after it
+        self.error_status = 0  # the status for input that can't be served, 0 if there is none
+        self.expects_continue = False  # the client waits for a 100 response before it sends the body
         self._path, self._body = b"", bytearray()
-        self._head = self._unfinished = 0
+        self._header_bytes = self._pending_bytes = 0
 
     def feed(self, data: bytes) -> None:
-        """More bytes came."""
-        self._unfinished += len(data)
+        """Parse received bytes."""
+        self._pending_bytes += len(data)
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self.refused = self.refused or 400
-        if self._unfinished > BODY_LIMIT + HEAD_LIMIT:
-            self.refused = self.refused or 413
+            self.error_status = self.error_status or 400
+        if self._pending_bytes > MAX_BODY_BYTES + MAX_HEADER_BYTES:
+            self.error_status = self.error_status or 413
 
-    def begun(self) -> bool:
-        """Whether a part of a request is here."""
-        return self._unfinished > 0
+    def has_partial_request(self) -> bool:
+        """Whether a request has arrived in part."""
+        return self._pending_bytes > 0
 
     def on_message_begin(self) -> None:
-        """A request begins."""
-        self._path, self._head = b"", 0
+        """Reset the state for a new request."""
+        self._path, self._header_bytes = b"", 0
         self._body.clear()
 
     def on_url(self, url: bytes) -> None:
-        """Its path, or a part of it."""
+        """Append a piece of the path."""
         self._path += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One of its headers."""
+        """Check a header field against the limits, and note ``Expect: 100-continue``."""
         name = name.lower()
-        self._head += len(name) + len(value) + 4
-        if self._head > HEAD_LIMIT:
-            self.refused = 431
-        if name == b"content-length" and value.isdigit() and int(value) > BODY_LIMIT:
-            self.refused = 413
+        self._header_bytes += len(name) + len(value) + 4
+        if self._header_bytes > MAX_HEADER_BYTES:
+            self.error_status = 431
+        if name == b"content-length" and value.isdigit() and int(value) > MAX_BODY_BYTES:
+            self.error_status = 413
         elif name == b"expect" and value.lower() == b"100-continue":
-            self.waits = True
+            self.expects_continue = True
 
     def on_body(self, body: bytes) -> None:
-        """A part of its body."""
+        """Append a piece of the body."""
         self._body += body
-        if len(self._body) > BODY_LIMIT:
-            self.refused = 413
+        if len(self._body) > MAX_BODY_BYTES:
+            self.error_status = 413
 
     def on_message_complete(self) -> None:
-        """It is whole."""
-        self._unfinished, self.waits = 0, False
-        if self.refused:
+        """Queue the complete request."""
+        self._pending_bytes, self.expects_continue = 0, False
+        if self.error_status:
             return
         request = Request(self.parser.get_method().decode(), self._path.decode("latin-1"), bytes(self._body))
         self.requests.append((request, self.parser.should_keep_alive()))
 
 
-def head(reply: Reply, close: bool) -> bytes:
-    """The reply's status line and headers."""
+def response_head(reply: Reply, close: bool) -> bytes:
+    """The status line and header fields of a reply."""
     lines = [
         f"HTTP/1.1 {reply.status} {PHRASES.get(reply.status, '')}",
         "Content-Type: application/json",
@@ -123,21 +132,22 @@
 
 
 class Server:
-    """Serves keep-alive connections, so many at once; more are told 503 and closed at once.
+    """Serves keep-alive connections; those above ``max_connections`` are answered 503 and closed.
 
-    Parsed by httptools, not by h11 as the client's side is: with a thousand machines that report every two seconds h11
-    alone took more than half of the leader's share of a core (docs/design.md, "Libraries").
+    It parses with httptools rather than with h11 as the client does: with 1,000 machines that report every two seconds,
+    h11 alone took more than half of the leader's share of a core (docs/design.md, "Libraries").
     """
 
-    def __init__(self, handler: Handler, most: int, request_s: float, idle_s: float) -> None:
-        self.handler, self.most, self.request_s, self.idle_s = handler, most, request_s, idle_s
+    def __init__(self, handler: Handler, max_connections: int, request_timeout_s: float, idle_timeout_s: float) -> None:
+        self.handler, self.max_connections = handler, max_connections
+        self.request_timeout_s, self.idle_timeout_s = request_timeout_s, idle_timeout_s
         self.open = 0
 
     async def __call__(self, stream: trio.abc.Stream) -> None:
-        """Serve one connection to its end; no peer's behaviour may end more than its own connection."""
+        """Serve one connection until it closes; an error of the peer ends no other connection."""
         self.open += 1
         try:
-            # One scope for the connection, whose deadline moves: one for each step is a tenth of what a request costs.
+            # One scope with a moving deadline: a scope for each step would make up a tenth of a request's cost.
             async with stream:
                 with trio.CancelScope() as scope:
                     await self._serve(stream, scope)
@@ -147,23 +157,23 @@
             self.open -= 1
 
     async def _serve(self, stream: trio.abc.Stream, scope: trio.CancelScope) -> None:
-        reader = Reader()
+        reader = RequestReader()
         while await self._receive(reader, stream, scope):
             if reader.requests:
-                request, stays = reader.requests.popleft()
-                scope.deadline = math.inf  # a handler bounds itself
+                request, keep_alive = reader.requests.popleft()
+                scope.deadline = math.inf  # handlers have timeouts of their own
                 reply = await self._answer(request)
             else:
-                reply, stays = Reply(reader.refused, {"error": "bad request"}), False
-            # Where sockets run short each is given back after its request, so that all get their turn at them.
-            stays = stays and not reply.close and self.open <= self.most * CROWDED
-            scope.deadline = trio.current_time() + self.request_s
-            await stream.send_all(head(reply, not stays) + reply.body)
-            if not stays:
+                reply, keep_alive = Reply(reader.error_status, {"error": "bad request"}), False
+            # When few sockets are free, each is released after one request so that all clients are served.
+            keep_alive = keep_alive and not reply.close and self.open <= self.max_connections * KEEP_ALIVE_SHARE
+            scope.deadline = trio.current_time() + self.request_timeout_s
+            await stream.send_all(response_head(reply, not keep_alive) + reply.body)
+            if not keep_alive:
                 return
 
     async def _answer(self, request: Request) -> Reply:
-        if self.open > self.most:
+        if self.open > self.max_connections:
             return Reply(503, {"error": "too many connections"}, retry_after=1, close=True)
         try:
             return await self.handler(request)
@@ -171,35 +181,37 @@
             log.exception("%s %s failed", request.method, request.path)
             return Reply(500, {"error": "internal"})
 
-    async def _receive(self, reader: Reader, stream: trio.abc.Stream, scope: trio.CancelScope) -> bool:
-        """Wait for a whole request, or for what can't be one; False when the peer is gone.
+    async def _receive(self, reader: RequestReader, stream: trio.abc.Stream, scope: trio.CancelScope) -> bool:
+        """Wait for a complete request or for invalid input; False when the peer has closed the connection.
 
-        The scope ends for a peer that is silent for long or too slow.
+        The scope's deadline ends the connection of a peer that is idle for too long or sends too slowly.
         """
         if reader.requests:
             return True
-        # Over the limit a connection is kept just long enough to be told so.
-        scope.deadline = trio.current_time() + (self.idle_s if self.open <= self.most else self.request_s / 10)
-        while not reader.requests and not reader.refused:
-            begun = reader.begun()
-            data = await stream.receive_some(READ_SIZE)
+        # Above the limit a connection stays open only for long enough to be answered 503.
+        scope.deadline = trio.current_time() + (
+            self.idle_timeout_s if self.open <= self.max_connections else self.request_timeout_s / 10
+        )
+        while not reader.requests and not reader.error_status:
+            partial = reader.has_partial_request()
+            data = await stream.receive_some(READ_BYTES)
             if not data:
                 return False
             reader.feed(bytes(data))
-            if not begun:
-                scope.deadline = min(scope.deadline, trio.current_time() + self.request_s)
-            if reader.waits and not reader.requests and not reader.refused:
-                reader.waits = False
+            if not partial:
+                scope.deadline = min(scope.deadline, trio.current_time() + self.request_timeout_s)
+            if reader.expects_continue and not reader.requests and not reader.error_status:
+                reader.expects_continue = False
                 await stream.send_all(b"HTTP/1.1 100 Continue\r\n\r\n")
         return True
 
 
 class NoAnswerError(Exception):
-    """No usable answer came: the request may have been carried out, or may still be."""
+    """No usable response arrived; the request may have been carried out or may still be."""
 
 
 async def connect(host: str, port: int) -> trio.abc.Stream:
-    """A TCP connection to a numeric address."""
+    """Open a TCP connection to a numeric address."""
     socket = trio.socket.socket()
     try:
         await socket.connect((host, port))
@@ -210,18 +222,18 @@
 
 
 class Client:
-    """Requests to one address over a few kept connections; its caller bounds how many run at once."""
+    """Sends requests to one address over a few keep-alive connections; the caller bounds how many run concurrently."""
 
-    def __init__(self, host: str, port: int, keep: int = 4, limit: int = 64 * 1024 * 1024) -> None:
-        self.host, self.port, self.keep, self.limit = host, port, keep, limit
+    def __init__(self, host: str, port: int, max_idle: int = 4, max_response_bytes: int = 64 * 1024 * 1024) -> None:
+        self.host, self.port, self.max_idle, self.max_response_bytes = host, port, max_idle, max_response_bytes
         self._idle: list[tuple[trio.abc.Stream, h11.Connection]] = []
         self._origin = f"{host}:{port}"
 
     async def call(self, method: str, target: str, body: Any, timeout: float) -> tuple[int, bytes]:
-        """Status and body of the answer; NoAnswerError if none comes in time.
+        """Status and body of the response; NoAnswerError if none arrives within the timeout.
 
-        A kept connection that the peer closed meanwhile is not tried again here: whether the request was
-        carried out is then unknown, and only the caller knows whether a repeat is harmless.
+        A request on an idle connection that the peer has closed is not retried here: whether it was carried out is
+        unknown, and only the caller knows whether a repeat is harmless.
         """
         try:
             with trio.fail_after(timeout):
@@ -236,22 +248,22 @@
             stream, connection = self._idle.pop()
         else:
             stream, connection = await connect(self.host, self.port), h11.Connection(h11.CLIENT)
-        done = False
+        kept = False
         try:
             await stream.send_all(self._request(connection, method, target, body))
             status, answer = await self._response(connection, stream)
             if connection.our_state is h11.DONE and connection.their_state is h11.DONE:
                 connection.start_next_cycle()
-                if len(self._idle) < self.keep:
+                if len(self._idle) < self.max_idle:
                     self._idle.append((stream, connection))
-                    done = True
+                    kept = True
             return status, answer
         finally:
-            if not done:
+            if not kept:
                 await trio.aclose_forcefully(stream)
 
     def _request(self, connection: h11.Connection, method: str, target: str, body: Any) -> bytes:
-        """The bytes of a request."""
+        """A request, encoded."""
         payload = b"" if body is None else encode(body)
         headers = [("Host", self._origin), ("Content-Length", str(len(payload)))]
         data = connection.send(h11.Request(method=method, target=target, headers=headers)) or b""
@@ -260,36 +272,36 @@
         return data + (connection.send(h11.EndOfMessage()) or b"")
 
     async def _response(self, connection: h11.Connection, stream: trio.abc.Stream) -> tuple[int, bytes]:
-        """Read a response to its end; its status and body."""
+        """Read a complete response and return its status and body."""
         status, parts, size = 0, [], 0
         while True:
             event = connection.next_event()
             if event is h11.NEED_DATA:
-                connection.receive_data(bytes(await stream.receive_some(READ_SIZE)))
+                connection.receive_data(bytes(await stream.receive_some(READ_BYTES)))
             elif isinstance(event, h11.Response):
                 status = event.status_code
             elif isinstance(event, h11.Data):
                 size += len(event.data)
-                if size > self.limit:
-                    raise OSError("the answer is too large")
+                if size > self.max_response_bytes:
+                    raise OSError("the response body is too large")
                 parts.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
                 return status, b"".join(parts)
             elif isinstance(event, h11.ConnectionClosed):
-                raise OSError("closed before an answer")
+                raise OSError("connection closed before the response was complete")
 
-    async def drop(self) -> None:
-        """Close the kept connections (after a failure they are suspect)."""
+    async def close_idle(self) -> None:
+        """Close the idle connections; after a failed request they may be broken too."""
         while self._idle:
             await trio.aclose_forcefully(self._idle.pop()[0])
 
 
 def decode_object(body: bytes) -> dict[str, Any]:
-    """A JSON object from a service's answer; NoAnswerError if it is anything else."""
+    """Decode a JSON object from a service's response; NoAnswerError if it is anything else."""
     try:
         value = msgspec.json.decode(body)
     except msgspec.DecodeError:
-        raise NoAnswerError("the answer is not JSON") from None
+        raise NoAnswerError("the response is not JSON") from None
     if not isinstance(value, dict):
-        raise NoAnswerError("the answer is not an object")
+        raise NoAnswerError("the response is not a JSON object")
     return value
--- a/ladderfield/server.py
+++ b/ladderfield/server.py
@@ -1,4 +1,4 @@
-"""One controller: puts the slices together and runs them for as long as the process lives."""
+"""The controller process: builds its components, wires them together and runs them until it is killed."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 from ladderfield.rollout import Rollout
 from ladderfield.settings import Settings, address
 from ladderfield.state import StateClient, StateServiceError
-from ladderfield.table_sizes import most_entries
+from ladderfield.table_sizes import max_table_entries
 from ladderfield.term import Term
 from ladderfield.view import View
 from ladderfield.workers.report_handler import ReportHandler
@@ -49,12 +49,12 @@
 
 log = logging.getLogger(__name__)
 
-IDLE_S = 60.0  # a kept connection may be silent for so long
-USERS_SHARE = 0.7  # of the sockets; the rest is for our own calls and the other controllers
+IDLE_TIMEOUT_S = 60.0  # of a keep-alive connection
+USER_CONNECTIONS_SHARE = 0.7  # of all sockets; the rest is for outgoing calls and the other controllers
 
 
 class Controller:
-    """All slices of one process."""
+    """All components of one process."""
 
     def __init__(
         self, settings: Settings, zone_options: ZoneOptions | None = None, reach_options: ReachOptions | None = None
@@ -64,17 +64,17 @@
         self.view = View(self.client, settings)
         self.cloud = Cloud(settings)
         workers = settings.cluster.workers
-        self.reachability = Reachability(workers.report_s, workers.lease_s, most_entries(settings))
+        self.reachability = Reachability(workers.report_s, workers.lease_s, max_table_entries(settings))
         self.client.observe = lambda side, exchange: self.reachability.note(side, exchange, trio.current_time())
         self.cloud.observe = lambda exchange: self.reachability.note(LinkKind.CLOUD, exchange, trio.current_time())
         self.succession = None if reach_options is None else Succession(reach_options, workers.report_s)
         self.leadership = Leadership(
-            settings, self.client, self.view, self.reachability.status, self._takes_users, self._stand_back_for
+            settings, self.client, self.view, self.reachability.status, self._should_serve_users, self._election_delay
         )
-        at_once = max(4, max_back_connections(settings.cluster.quota.max_connections) // max(1, len(settings.peers)))
-        self.links = {peer.member: PeerLink(peer, at_once) for peer in settings.peers}
+        max_calls = max(4, max_back_connections(settings.cluster.quota.max_connections) // max(1, len(settings.peers)))
+        self.links = {peer.member: PeerLink(peer, max_calls) for peer in settings.peers}
         self.dependencies = DependencyGraph(self.view.get)
-        self.cancellations = Cancellations(most_entries(settings))
+        self.cancellations = Cancellations(max_table_entries(settings))
         self.view.listeners += [self.dependencies.apply_change, self.cancellations.apply_change]
         self.rollout = Rollout(settings, self.client, self.view)
         self.jobs_api = JobsApi(
@@ -93,13 +93,13 @@
         self.authority_log = AuthorityLog()
         self.cancellation_sync.deliver = lambda uids: self.reports.send_to_leader(CancellationsLearned(uids))
 
-    def _takes_users(self) -> bool:
-        """Whether users should come here, by the last word of every other controller."""
+    def _should_serve_users(self) -> bool:
+        """Whether users should be sent here, given what every other controller last reported."""
         peers = (PeerStatus(link.reachable, link.state_ok) for link in self.links.values())
         return serves_users(self.reachability.state_ok, peers)
 
-    def _stand_back_for(self, vacant_since: float) -> float:
-        """How many seconds more to let others be elected first."""
+    def _election_delay(self, vacant_since: float) -> float:
+        """Seconds for which this candidate still waits so that others are elected first."""
         if self.succession is None:
             return 0.0
         now = trio.current_time()
@@ -108,14 +108,14 @@
         )
 
     async def handle(self, request: Request) -> Reply:
-        """Any request to ``bind``."""
+        """Answer a request to the ``bind`` address."""
         reply = await self.reports(request)
         if reply is None:
             reply = await self.jobs_api(request)
         return reply or Reply(404, {"error": "no such path"})
 
     async def handle_back(self, kind: int, status: int, body: bytes) -> tuple[int, bytes]:
-        """Any question over ``back``."""
+        """Answer a frame that another controller sent to the ``back`` address."""
         if kind == RELAY:
             return await self.reports.handle_relayed(body, status)
         if kind == HEALTH:
@@ -135,15 +135,15 @@
         return 400, b""
 
     async def run_health(self) -> None:
-        """Know whether the state service serves us, and how the others are."""
-        pause = self.settings.cluster.workers.report_s / 2
+        """Check the state service and the other controllers at a fixed interval."""
+        interval_s = self.settings.cluster.workers.report_s / 2
         while True:
             term = self.leadership.term
             async with trio.open_nursery() as nursery:
                 for link in self.links.values():
-                    nursery.start_soon(link.check, pause)
-                nursery.start_soon(self.reach_exchange.ask_all, pause)
-                self.reachability.state_ok = await self.view.fresh(pause)
+                    nursery.start_soon(link.check, interval_s)
+                nursery.start_soon(self.reach_exchange.ask_all, interval_s)
+                self.reachability.state_ok = await self.view.fresh(interval_s)
             for link in self.links.values():
                 self.leadership.learn_leader(*link.latest_known)
             if self.zone_options is not None:
@@ -152,24 +152,26 @@
                 if self.reachability.state_ok:
                     term.note_known(self.view.proven_at)
                 else:
-                    self.reports.send_to_leader(CancellationsLearned(*await self.cancellation_sync.ask(term, pause)))
+                    self.reports.send_to_leader(
+                        CancellationsLearned(*await self.cancellation_sync.ask(term, interval_s))
+                    )
             if (
                 term is not None
                 and term is self.leadership.term
                 and not any(link.may_lead for link in self.links.values())
             ):
-                # All were asked after our term began, so no earlier leader is left to keep leases alive.
+                # All were asked after this term began, so no earlier leader remains that could extend worker leases.
                 self.reports.send_to_leader(NoOtherLeader())
             self._observe_reach(trio.current_time())
-            await trio.sleep(pause)
+            await trio.sleep(interval_s)
 
     def _observe_reach(self, now: float) -> None:
-        """Judge which links work, and say on the log what follows from it."""
+        """Update the state of the links, and log the decisions that it allows or denies."""
         for member, link in self.links.items():
             self.reachability.note(
                 LinkKind.PEER_OUT, Exchange.ANSWERED if link.reachable else Exchange.LOST, now, member
             )
-        if not self.reachability.workers.is_leader:  # a leader looks with each tick
+        if not self.reachability.workers.is_leader:  # a leader does this with each of its ticks
             self.reachability.judge_workers(now, self.settings.cluster.workers.report_s / 2)
             self.authority_log.observe(self.leadership.authority(), now)
 
@@ -182,7 +184,7 @@
         return reachable
 
     async def run_terms(self, terms: trio.MemoryReceiveChannel[Term]) -> None:
-        """Be leader whenever this controller is elected."""
+        """Run the leader for each term that this controller wins."""
         async for term in terms:
             try:
                 leader = Leader(
@@ -191,14 +193,14 @@
                 )  # fmt: skip
                 leader.authority_log = self.authority_log
                 leader.resignation = self._resignation(term, leader)
-                await leader.run(self._announce)
+                await leader.run(self._set_inbox)
             except Exception:
-                log.exception("epoch %d: the leader failed", term.epoch)
-                self._announce(None)
-                term.end("of an error")
+                log.exception("epoch %d: unhandled exception in the leader", term.epoch)
+                self._set_inbox(None)
+                term.end("unhandled exception")
 
     def _resignation(self, term: Term, leader: Leader) -> Resignation | None:
-        """What makes a leader resign, if leadership goes by reach."""
+        """The component that makes a leader resign; None unless leadership by reach is on."""
         if self.succession is None:
             return None
         return Resignation(
@@ -206,30 +208,30 @@
             self.view,
         )  # fmt: skip
 
-    def _announce(self, inbox: trio.MemorySendChannel | None) -> None:
+    def _set_inbox(self, inbox: trio.MemorySendChannel | None) -> None:
         self.reports.inbox = inbox
         if inbox is None:
             self.reachability.workers.set_leader_counts(None)
 
-    async def run_types(self) -> None:
-        """Put the machine types on record if nobody has yet: without them no job can be judged."""
-        pause = self.settings.cluster.workers.report_s
+    async def run_machine_types(self) -> None:
+        """Store the machine types in the state service unless they are there; no job can be validated without them."""
+        interval_s = self.settings.cluster.workers.report_s
         while True:
             if self.view.synced and self.view.get(TYPES_KEY) is None:
                 try:
                     await self.cloud.idle_budget.take()
-                    kinds = types_record(
+                    types = types_record(
                         await self.cloud.types(), self.settings.cluster.state.value_kb * 1024 * MAX_RECORD_SHARE
                     )
-                    if parse_types(kinds):
+                    if parse_types(types):
                         await self.client.writes.take()
-                        await self.client.commit({TYPES_KEY: 0}, {TYPES_KEY: kinds}, [], pause)
+                        await self.client.commit({TYPES_KEY: 0}, {TYPES_KEY: types}, [], interval_s)
                 except (CloudError, StateServiceError) as error:
-                    log.info("machine types: %s", error)
-            await trio.sleep(pause / 4 if self.view.get(TYPES_KEY) is None else pause)
+                    log.info("could not store the machine types: %s", error)
+            await trio.sleep(interval_s / 4 if self.view.get(TYPES_KEY) is None else interval_s)
 
     async def run(self) -> None:
-        """Everything but the listeners."""
+        """Run all actors; the listeners are started by ``serve``."""
         send, receive = trio.open_memory_channel[Term](1)
         async with trio.open_nursery() as nursery:
             for actor in (
@@ -239,43 +241,43 @@
                 partial(self.leadership.run, send),
                 partial(self.run_terms, receive),
                 self.rollout.run,
-                self.run_types,
+                self.run_machine_types,
                 self.run_health,
                 self.prober.run,
                 partial(self.cancellation_sync.run_notices, self.settings.cluster.workers.report_s / 2),
             ):
-                nursery.start_soon(self._keep, actor)
+                nursery.start_soon(self._supervise, actor)
 
-    async def _keep(self, actor: Callable[[], Awaitable[None]]) -> None:
-        """Run an actor for ever.
+    async def _supervise(self, actor: Callable[[], Awaitable[None]]) -> None:
+        """Run an actor, and restart it after a pause whenever it returns or raises.
 
-        A mistake in one is told and costs a pause, not the process, nor (worse) the actor: a controller that looks well
-        but no longer follows the state service would never answer again.
+        An exception must neither end the process nor, which is worse, leave the actor stopped: a controller that looks
+        healthy but no longer follows the state service would never answer again.
         """
         while True:
             try:
                 await actor()
             except Exception:
-                log.exception("an actor failed and is begun again")
+                log.exception("unhandled exception in an actor; restarting it")
             await trio.sleep(self.settings.cluster.workers.report_s / 4)
 
 
-async def _listen(text: str, serve: Callable[[trio.abc.Stream], Awaitable[None]], most: int) -> None:
-    host, port = address(text)
-    listeners = await trio.open_tcp_listeners(port, host=host, backlog=most)
+async def _listen(endpoint: str, serve: Callable[[trio.abc.Stream], Awaitable[None]], backlog: int) -> None:
+    host, port = address(endpoint)
+    listeners = await trio.open_tcp_listeners(port, host=host, backlog=backlog)
     await trio.serve_listeners(serve, listeners)
 
 
 async def serve(
     settings: Settings, zone_options: ZoneOptions | None = None, reach_options: ReachOptions | None = None
 ) -> None:
-    """Run the controller."""
+    """Run one controller and its two listeners."""
     controller = Controller(settings, zone_options, reach_options)
-    most = settings.cluster.quota.max_connections
-    front = Server(controller.handle, int(most * USERS_SHARE), SUBMIT_TIMEOUT_S, IDLE_S)
-    back = BackServer(controller.handle_back, max_back_connections(most), IDLE_S, SUBMIT_TIMEOUT_S)
-    log.info("controller %s starts in %s", settings.member, settings.location or "no zone")
+    max_connections = settings.cluster.quota.max_connections
+    front = Server(controller.handle, int(max_connections * USER_CONNECTIONS_SHARE), SUBMIT_TIMEOUT_S, IDLE_TIMEOUT_S)
+    back = BackServer(controller.handle_back, max_back_connections(max_connections), IDLE_TIMEOUT_S, SUBMIT_TIMEOUT_S)
+    log.info("controller %s started, zone %s", settings.member, settings.location or "not set")
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(_listen, settings.bind, front, most)
-        nursery.start_soon(_listen, settings.back, back, most)
+        nursery.start_soon(_listen, settings.bind, front, max_connections)
+        nursery.start_soon(_listen, settings.back, back, max_connections)
         nursery.start_soon(controller.run)
--- a/ladderfield/settings.py
+++ b/ladderfield/settings.py
@@ -1,7 +1,7 @@
-"""The settings file that the platform hands to every controller.
+"""The settings file that the platform gives to every controller.
 
-Fields the program does not use are ignored, so that the platform can add some. Everything that depends on the
-deployment's pace (pauses, leases, budgets) is derived here or at its use as a ratio to these figures.
+Unknown fields are ignored, so that the platform can add some. Intervals, timeouts, leases and budgets that depend on
+the deployment are derived as ratios of these settings, here or where they are used.
 """
 
 from __future__ import annotations
@@ -12,24 +12,24 @@
 import msgspec
 
 Positive = Annotated[float, msgspec.Meta(gt=0)]
-NotNegative = Annotated[float, msgspec.Meta(ge=0)]
+NonNegative = Annotated[float, msgspec.Meta(ge=0)]
 Count = Annotated[int, msgspec.Meta(ge=1)]
 
 
 class SettingsError(Exception):
-    """The settings file can't be used; the text is one line that names the field."""
+    """The settings file is invalid; the message is one line that names the field."""
 
 
 class Peer(msgspec.Struct, frozen=True):
-    """Another controller, reached at its ``back`` address."""
+    """Another controller; ``endpoint`` is its ``back`` address."""
 
     member: str
     endpoint: str
     location: str = ""
 
 
-class Outside(msgspec.Struct, frozen=True):
-    """Addresses of the region's services."""
+class ExternalServices(msgspec.Struct, frozen=True):
+    """Addresses of the cloud API and the state service of the region."""
 
     cloud: str
     state: str
@@ -39,14 +39,14 @@
     """A team's guarantee and limit; 0 means none is set."""
 
     name: str
-    cpus: NotNegative = 0.0
-    cpus_max: NotNegative = 0.0
-    gpus: NotNegative = 0.0
-    gpus_max: NotNegative = 0.0
+    cpus: NonNegative = 0.0
+    cpus_max: NonNegative = 0.0
+    gpus: NonNegative = 0.0
+    gpus_max: NonNegative = 0.0
 
 
 class Objective(msgspec.Struct, frozen=True):
-    """An aim on starting or finishing, as far as scheduling can use it."""
+    """A service-level objective for starting or finishing jobs, with the fields that scheduling uses."""
 
     kind: str
     job_class: str | None = msgspec.field(name="class", default=None)
@@ -56,7 +56,7 @@
 
 
 class Workers(msgspec.Struct, frozen=True):
-    """Pace of the workers."""
+    """Timing of the workers: report interval, lease and time allowed for a cancellation."""
 
     report_s: Positive
     lease_s: Positive
@@ -64,7 +64,7 @@
 
 
 class NextLimits(msgspec.Struct, frozen=True):
-    """Limits that the state service will have from some moment on; what is absent stays."""
+    """Limits that the state service will change to at an unknown time; absent ones stay as they are."""
 
     rps: Positive | None = None
     write_rps: Positive | None = None
@@ -73,10 +73,10 @@
 
 
 class StateLimits(msgspec.Struct, frozen=True):
-    """What the state service allows all controllers together.
+    """Limits of the state service for all controllers together.
 
-    The moment when ``next`` comes into force is not told, so each figure is the smaller one from the start: whoever
-    asks for one can't ask for the wrong one.
+    It isn't known when ``next`` takes effect, so each limit is the smaller of the current and the next one from the
+    start. No caller can then use a limit that no longer holds.
     """
 
     rps: Positive
@@ -86,22 +86,22 @@
     next: NextLimits | None = None
 
     def __post_init__(self) -> None:
-        """Take the smaller of each figure and the one that is to come."""
+        """Lower each limit to that of ``next`` where this is smaller."""
         for field in NextLimits.__struct_fields__:
-            coming = getattr(self.next, field, None)
-            if coming is not None and coming < getattr(self, field):
-                msgspec.structs.force_setattr(self, field, coming)
+            upcoming = getattr(self.next, field, None)
+            if upcoming is not None and upcoming < getattr(self, field):
+                msgspec.structs.force_setattr(self, field, upcoming)
 
 
 class CloudLimits(msgspec.Struct, frozen=True):
-    """What the cloud allows all controllers together."""
+    """Limits of the cloud API for all controllers together."""
 
     rps: Positive
-    list_lag_s: NotNegative
+    list_lag_s: NonNegative
 
 
 class Quota(msgspec.Struct, frozen=True):
-    """This process's own bounds."""
+    """Resources that this process may use."""
 
     cores: Positive
     ram_mb: Positive
@@ -109,7 +109,7 @@
 
 
 class Cluster(msgspec.Struct, frozen=True):
-    """What all controllers share."""
+    """Settings that are the same for all controllers."""
 
     size: Count
     zones: list[str]
@@ -119,7 +119,7 @@
     cloud: CloudLimits
     quota: Quota
     objectives: list[Objective] = []
-    clock_off_ms: NotNegative = 0.0
+    clock_off_ms: NonNegative = 0.0
 
 
 class Settings(msgspec.Struct, frozen=True):
@@ -128,32 +128,32 @@
     member: str
     bind: str
     back: str
-    outside: Outside
+    outside: ExternalServices
     cluster: Cluster
     location: str = ""
     peers: list[Peer] = []
 
 
 def address(text: str) -> tuple[str, int]:
-    """Split ``host:port``; raises ValueError when it isn't that."""
+    """Split ``host:port``; ValueError if the text has another form."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not 0 < int(port) < 65536:
-        raise ValueError(f"not an address: {text!r}")
+        raise ValueError(f"not a host:port address: {text!r}")
     return host, int(port)
 
 
 def load(path: Path) -> Settings:
-    """Read and check the file; SettingsError says in one line what is wrong with which field."""
+    """Read and validate the file; SettingsError names the invalid field in one line."""
     try:
         settings = msgspec.json.decode(path.read_bytes(), type=Settings)
     except OSError as error:
         raise SettingsError(f"{path}: {error.strerror or error}") from None
     except msgspec.DecodeError as error:
         raise SettingsError(f"{path}: {error}") from None
-    named = {"bind": settings.bind, "back": settings.back}
-    named |= {"outside.cloud": settings.outside.cloud, "outside.state": settings.outside.state}
-    named |= {f"peers[{n}].endpoint": peer.endpoint for n, peer in enumerate(settings.peers)}
-    for field, text in named.items():
+    addresses = {"bind": settings.bind, "back": settings.back}
+    addresses |= {"outside.cloud": settings.outside.cloud, "outside.state": settings.outside.state}
+    addresses |= {f"peers[{index}].endpoint": peer.endpoint for index, peer in enumerate(settings.peers)}
+    for field, text in addresses.items():
         try:
             address(text)
         except ValueError:
--- a/ladderfield/teams.py
+++ b/ladderfield/teams.py
@@ -1,6 +1,6 @@
-"""Teams: what their claims use, their limits, and whose guarantee is open.
+"""Usage of the teams against their limits and guarantees.
 
-Usage counts claims, not sightings: a claim that may still come to life counts in full.
+Usage is counted from claims, not from the tasks that workers report: a claim whose task may still start counts in full.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 from ladderfield.jobs.model import JobSpec
 from ladderfield.settings import Team
 
-SLACK = 1e-9
+ROUNDING_SLACK = 1e-9  # cpus or gpus
 
 
 class Teams:
-    """The account of all teams."""
+    """The usage, limits and guarantees of all teams."""
 
     def __init__(self, teams: Iterable[Team]) -> None:
         self.teams = {team.name: team for team in teams}
@@ -22,45 +22,45 @@
         self.gpus = dict.fromkeys(self.teams, 0.0)
 
     def add(self, spec: JobSpec, count: int = 1) -> None:
-        """A claim begins to bind (or, with -1, ends)."""
+        """Add the usage of ``count`` claims; a negative count removes it."""
         self.cpus[spec.team] = self.cpus.get(spec.team, 0.0) + count * spec.cpus
         self.gpus[spec.team] = self.gpus.get(spec.team, 0.0) + count * spec.gpus
 
     def room(self, spec: JobSpec) -> int:
-        """How many more tasks of this shape the team's limit allows now."""
+        """How many more of the job's tasks fit into the team's limit, at most all of them."""
         team = self.teams.get(spec.team)
         if team is None:
             return 0
-        rooms = [spec.tasks]
+        bounds = [spec.tasks]
         if team.cpus_max and spec.cpus:
-            rooms.append(int((team.cpus_max - self.cpus[spec.team] + SLACK) / spec.cpus))
+            bounds.append(int((team.cpus_max - self.cpus[spec.team] + ROUNDING_SLACK) / spec.cpus))
         if team.gpus_max and spec.gpus:
-            rooms.append(int((team.gpus_max - self.gpus[spec.team] + SLACK) / spec.gpus))
-        return max(0, min(rooms))
+            bounds.append(int((team.gpus_max - self.gpus[spec.team] + ROUNDING_SLACK) / spec.gpus))
+        return max(0, min(bounds))
 
-    def over_limit(self, spec: JobSpec) -> float:
-        """By how many cpus one more such task would exceed the team's limit."""
+    def cpus_over_limit(self, spec: JobSpec) -> float:
+        """By how many cpus one more of the job's tasks would exceed the team's limit."""
         team = self.teams.get(spec.team)
         if team is None or not team.cpus_max:
             return 0.0
-        return max(0.0, self.cpus[spec.team] + spec.cpus - team.cpus_max - SLACK)
+        return max(0.0, self.cpus[spec.team] + spec.cpus - team.cpus_max - ROUNDING_SLACK)
 
     def guaranteed(self, spec: JobSpec) -> bool:
-        """Whether one more such task stays within the team's guarantee."""
+        """Whether one more of the job's tasks stays within the team's guarantee."""
         team = self.teams.get(spec.team)
         if team is None:
             return False
-        cpus_ok = self.cpus[spec.team] + spec.cpus <= team.cpus + SLACK
-        gpus_ok = self.gpus[spec.team] + spec.gpus <= team.gpus + SLACK
+        cpus_ok = self.cpus[spec.team] + spec.cpus <= team.cpus + ROUNDING_SLACK
+        gpus_ok = self.gpus[spec.team] + spec.gpus <= team.gpus + ROUNDING_SLACK
         return cpus_ok and gpus_ok and (team.cpus > 0 or team.gpus > 0)
 
-    def owed(self, spec: JobSpec) -> int:
-        """How many more such tasks the team's guarantee holds."""
+    def tasks_within_guarantee(self, spec: JobSpec) -> int:
+        """How many more of the job's tasks fit into the team's guaranteed cpus."""
         team = self.teams.get(spec.team)
         if team is None or not spec.cpus:
             return 0
-        return max(0, int((team.cpus - self.cpus[spec.team] + SLACK) / spec.cpus))
+        return max(0, int((team.cpus - self.cpus[spec.team] + ROUNDING_SLACK) / spec.cpus))
 
     def borrowed(self) -> dict[str, float]:
-        """The cpus that teams run beyond their guarantees."""
+        """The cpus that each team uses beyond its guarantee."""
         return {name: max(0.0, self.cpus[name] - team.cpus) for name, team in self.teams.items()}
--- a/run.py
+++ b/run.py
@@ -1,11 +1,11 @@
-"""Start ladderfield from a checkout that was built as ``deploy/service.toml`` says.
+"""Start ladderfield from a checkout that was built by the command in ``deploy/service.toml``.
 
-The platform calls this file with ``--config FILE``; it stands for ``ladderfield serve --config FILE``.
+The platform calls this file with ``--config FILE``, which is the same as ``ladderfield serve --config FILE``.
 
-A controller has a fraction of a processor core, so nothing may be compiled while it starts. Python looks for compiled
-files beside their sources, and the build may only write below ``target``: it puts a copy of the package there and
-compiles it, as installing it would. ``sys.pycache_prefix`` is no way to do this: it hides the compiled files of the
-standard library too, which then is compiled at each start.
+A controller has a fraction of a processor core, so no module should be compiled while it starts. Python looks for
+compiled files next to their sources, and the build may write only below ``target``, so the build copies the package
+there and compiles it, as an installation would. ``sys.pycache_prefix`` is no alternative: it also hides the compiled
+files of the standard library, which would then be compiled at each start.
 """
 
 import sys
@@ -16,7 +16,7 @@
 sys.dont_write_bytecode = True
 sys.path[:0] = [str(_TARGET / "app"), str(_TARGET / "deps")]
 
-from ladderfield.cli import main  # noqa: E402  (the path has to be set first)
+from ladderfield.cli import main  # noqa: E402  (needs the path set above)
 
 if __name__ == "__main__":
     main(["serve", *sys.argv[1:]], prog_name="ladderfield")
