--- a/ladderfield/leader/ledger.py
+++ b/ladderfield/leader/ledger.py
@@ -270,8 +270,8 @@
                 page.drop_claim(claim)
                 scheduler.unrecorded_claims[claim] = None
             for job in list(page.done):
-                unrecorded_claims = page.done[job] & job.unrecorded_done
-                page.drop_done(job, unrecorded_claims)
-                if unrecorded_claims and job.final_phase is None:
+                unrecorded_tasks = page.done[job] & job.unrecorded_done
+                page.drop_done(job, unrecorded_tasks)
+                if unrecorded_tasks and job.final_phase is None:
                     scheduler.unrecorded_ends[job] = None
             pages.mark_dirty(page)
