--- a/ladderfield/connectivity/test_handover.py
+++ b/ladderfield/connectivity/test_handover.py
@@ -18,7 +18,7 @@
 from ladderfield.rollout import REACH_EXCHANGE, VERSION_PREFIX
 from ladderfield.state import StateClient
 from ladderfield.testing.cluster import Cluster, cluster
-from ladderfield.testing.history import faults
+from ladderfield.testing.history import find_violations
 from ladderfield.testing.link_cuts import (
     BY_REACH,
     CANCEL_S,
@@ -28,10 +28,10 @@
     REPORT_S,
     STATE,
     Users,
-    address,
-    fail,
-    runs,
-    without_workers,
+    controller_host,
+    fail_controller,
+    task_runs,
+    worker_links,
 )
 from ladderfield.testing.network import Link
 
@@ -43,16 +43,16 @@
 
 async def heal_and_cut_again(whole: Cluster, first: int) -> None:
     """The cut heals for a short time."""
-    whole.net.mend(without_workers(first))
+    whole.net.heal(worker_links(first))
     await trio.sleep(HEALED_S)
-    whole.net.silent.update(without_workers(first))
+    whole.net.silent.update(worker_links(first))
 
 
 async def another_fails(how: str, down_s: float, whole: Cluster, first: int) -> None:
     """The current leader fails, or the controller that would be next."""
     leaders = [number for number, controller in whole.controllers.items() if controller.leadership.term is not None]
     successors = [number for number in leaders if number != first]
-    await fail(whole, successors[0] if successors else (first + 1) % CONTROLLERS, how, down_s)
+    await fail_controller(whole, successors[0] if successors else (first + 1) % CONTROLLERS, how, down_s)
 
 
 DISTURBANCES: dict[str, Disturbance] = {
@@ -101,7 +101,7 @@
 
 
 def violations(whole: Cluster, users: Users) -> list[Any]:
-    return list(faults(runs(whole.cloud.workers.values()), users.told, CANCEL_S, LATE_START_S))
+    return list(find_violations(task_runs(whole.cloud.workers.values()), users.answers, CANCEL_S, LATE_START_S))
 
 
 @pytest.mark.parametrize("disturbance", DISTURBANCES)
@@ -119,18 +119,18 @@
             nursery.start_soon(DISTURBANCES[disturbance], whole, first)
 
         at_step(monkeypatch, step, lambda: recorded_epoch(whole), act)
-        nursery.start_soon(users.look)
-        whole.net.silent.update(without_workers(first))
+        nursery.start_soon(users.poll_jobs)
+        whole.net.silent.update(worker_links(first))
         arrays = [await users.submit(rungs=3, owner="blue")]
         await trio.sleep(CUT_S / 2)
         arrays.append(await users.submit(rungs=3, owner="blue"))
         await trio.sleep(CUT_S / 2)
-        whole.net.mend(without_workers(first))
+        whole.net.heal(worker_links(first))
         await trio.sleep(SETTLE_S)
         assert disturbed.is_set(), "the step was never reached"
         assert violations(whole, users) == []
         assert [await whole.phase(0, uid) for uid in arrays] == ["done"] * len(arrays)
-        assert len([name for name in whole.on() if name.startswith(service)]) == REPLICAS
+        assert len([name for name in whole.active_tasks() if name.startswith(service)]) == REPLICAS
         nursery.cancel_scope.cancel()
 
 
@@ -141,12 +141,12 @@
         users = Users(whole)
         service, first = await run_service(whole, users)
         epoch = recorded_epoch(whole)
-        whole.net.silent.update(without_workers(first))
+        whole.net.silent.update(worker_links(first))
         await trio.sleep(LEASE_S)
         assert whole.leader() != first and recorded_epoch(whole) == epoch + 1
         assert whole.state.keys[RESIGNATIONS][0]["member"] == f"n{first}"
         uid = await users.submit(rungs=3, owner="blue")
-        await whole.until(whole.leader(), uid, "done", LEASE_S)
+        await whole.wait_for_phase(whole.leader(), uid, "done", LEASE_S)
         await trio.sleep(CUT_S)
         assert len(whole.starts(service)) == REPLICAS, "no replica was interrupted"
         assert recorded_epoch(whole) == epoch + 1, "and the leader stays"
@@ -160,14 +160,14 @@
     async with cluster(monkeypatch, reach_options=BY_REACH) as whole:
         _, first = await run_service(whole, Users(whole))
         epoch, released = recorded_epoch(whole), trio.Event()
-        others = {Link(address(number), STATE) for number in range(CONTROLLERS) if number != first}
+        others = {Link(controller_host(number), STATE) for number in range(CONTROLLERS) if number != first}
 
         def keep_others_out() -> None:
             whole.net.refused.update(others)
             released.set()
 
         at_step(monkeypatch, "between release and the next grant", lambda: epoch - 1, keep_others_out)
-        whole.net.silent.update(without_workers(first))
+        whole.net.silent.update(worker_links(first))
         await released.wait()
         await trio.sleep(0.75 * BY_REACH.candidacy_delay_s)
         assert recorded_epoch(whole) == epoch
@@ -179,7 +179,7 @@
     async with cluster(monkeypatch, reach_options=BY_REACH) as whole:
         _, first = await run_service(whole, Users(whole))
         for number in range(CONTROLLERS):
-            whole.net.silent.update(without_workers(number))
+            whole.net.silent.update(worker_links(number))
         await trio.sleep(2 * LEASE_S)
         assert whole.leader() == first
 
@@ -191,10 +191,10 @@
         service, first = await run_service(whole, users)
         for worker in whole.cloud.workers.values():
             worker.dead = True
-            worker.lose_all()
+            worker.discard_tasks()
         await trio.sleep(6 * LEASE_S)
         assert whole.leader() == first
-        assert len([name for name in whole.on() if name.startswith(service)]) == REPLICAS
+        assert len([name for name in whole.active_tasks() if name.startswith(service)]) == REPLICAS
 
 
 async def test_leadership_changes_seldom_when_every_leader_loses_its_workers(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -205,15 +205,15 @@
         epochs = [recorded_epoch(whole)]
         until = trio.current_time() + 12 * LEASE_S
         while trio.current_time() < until:
-            whole.net.mend()
-            whole.net.silent.update(without_workers(whole.leader()))
+            whole.net.heal()
+            whole.net.silent.update(worker_links(whole.leader()))
             await trio.sleep(LEASE_S)
             epochs.append(recorded_epoch(whole))
         assert 2 <= epochs[-1] - epochs[0] <= 4, "after one lease, then two, then four"
-        whole.net.mend()
+        whole.net.heal()
         await trio.sleep(SETTLE_S)
         assert violations(whole, users) == []
-        assert len([name for name in whole.on() if name.startswith(service)]) == REPLICAS
+        assert len([name for name in whole.active_tasks() if name.startswith(service)]) == REPLICAS
 
 
 async def test_no_leader_resigns_while_a_controller_runs_an_older_version(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -228,7 +228,7 @@
             controller.rollout._common_level = REACH_EXCHANGE - 1
             controller.view.data[VERSION_PREFIX + old] = ({"level": REACH_EXCHANGE - 1}, 1)
             monkeypatch.setattr(controller.links[old], "ask", recording(sent_kinds, controller.links[old].ask))
-        whole.net.silent.update(without_workers(first))
+        whole.net.silent.update(worker_links(first))
         await trio.sleep(CUT_S)
         assert whole.leader() == first and REACH not in sent_kinds
 
--- a/ladderfield/fleet/test_plan.py
+++ b/ladderfield/fleet/test_plan.py
@@ -5,7 +5,7 @@
 from ladderfield.fleet.capacity import MAX_RENT_CALLS_PER_OFFER, Offer
 from ladderfield.fleet.cloud import MAX_RENTED_PER_CALL
 from ladderfield.fleet.plan import Planner
-from ladderfield.testing.leader import SchedulerHarness, launched, rung
+from ladderfield.testing.leader import SchedulerHarness, launch_job, reported_task
 
 
 def count(planner: Planner, now: float, spot: bool | None = None) -> int:
@@ -29,7 +29,7 @@
     harness.submit("req-000002", rungs=2, owner="blue")
     assert count(planner, 1.0) == 1
     full = SchedulerHarness()
-    launched(full, 2)
+    launch_job(full, 2)
     full.submit("req-000002", shape="daemon", rank="production", rungs=1, cores=4.0, loaners=False)
     full.scheduler.estimates.arrivals.clear()
     full.scheduler.estimates.latest_service.clear()
@@ -53,7 +53,7 @@
     for number in range(2, 60):
         uid = f"req-{number:06d}"
         harness.submit(uid, owner="blue", shape="daemon", rank="production", rungs=1, cores=4.0, loaners=False)
-        harness.tell(uid, "cancelled")
+        harness.record_final_state(uid, "cancelled")
     assert first == 2, "one for the waiting replica, one for expected ones"
     assert count(Planner(harness.scheduler), 1.0) == 1 + 8, (
         "the mean of 4.9 and one standard deviation of 2.2, in whole machines"
@@ -86,12 +86,12 @@
 
 def test_idle_machines_are_returned_when_keeping_them_costs_more_than_replacing_them() -> None:
     harness = SchedulerHarness()
-    attempt = launched(harness, 1)
+    attempt = launch_job(harness, 1)
     harness.report("idle")
     planner = Planner(harness.scheduler)
     assert not planner.machines_to_return(1.0)
     assert [machine.host for machine in planner.machines_to_return(40.0)] == ["idle"]
-    harness.report(rungs=(rung(0, attempt),), now=40.0)
+    harness.report(tasks=(reported_task(0, attempt),), now=40.0)
     assert [machine.host for machine in planner.machines_to_return(400.0)] == ["idle"], "a machine with a claim is kept"
 
 
@@ -103,7 +103,7 @@
     for image, size in (("img-quick", 1.0), ("img-slow", 20.0)):
         uid = "req-000001" if size > 1 else "req-000002"
         harness.submit(uid, shape="daemon", rungs=1, bundle=image, sizeGb=size, owner="blue")
-        harness.tell(uid, "cancelled")
+        harness.record_final_state(uid, "cancelled")
     harness.machine("quick").cached = {"img-quick": 1.0}
     harness.machine("warm").cached = {"img-slow": 20.0}
     planner = Planner(harness.scheduler)
--- a/ladderfield/jobs/test_consistency.py
+++ b/ladderfield/jobs/test_consistency.py
@@ -17,20 +17,20 @@
 
 def _inject_fault(harness: Cluster, fault: str) -> None:
     """Replaces the current fault of the state service by this one; "none" removes it."""
-    harness.state.watch_lag = harness.state.slow_s = 0.0
-    harness.state.answer_s = lambda keys: 0.0
+    harness.state.watch_lag_s = harness.state.delay_s = 0.0
+    harness.state.answer_delay_s = lambda keys: 0.0
     if fault == "watches lag":
-        harness.state.watch_lag = 0.4
+        harness.state.watch_lag_s = 0.4
     elif fault == "the state service is slow":
-        harness.state.slow_s = 0.3
+        harness.state.delay_s = 0.3
     elif fault == "answers are lost":
         # Every second transaction on job records, by a controller or the leader, is applied and never answered.
         counts = iter(range(10**6))
-        harness.state.answer_s = lambda keys: (
+        harness.state.answer_delay_s = lambda keys: (
             math.inf if next(counts) % 2 and keys[0][:5] in ("lf/j/", "lf/f/") else 0.0
         )
     elif fault == "answers are late":
-        harness.state.answer_s = lambda keys: 0.9 if keys[0][:5] in ("lf/j/", "lf/f/") else 0.0
+        harness.state.answer_delay_s = lambda keys: 0.9 if keys[0][:5] in ("lf/j/", "lf/f/") else 0.0
 
 
 @pytest.mark.parametrize(
@@ -45,7 +45,7 @@
         ended_job, cancelled_job, early_cancelled = "req-000001", "req-000002", "req-000003"
         await harness.submit(uid=ended_job, rungs=1)
         await harness.submit(uid=cancelled_job, rungs=3, shape="daemon")
-        await harness.busy(cancelled_job)
+        await harness.worker_running(cancelled_job)
         harness.jobs[early_cancelled] = job(early_cancelled, rungs=2)
         _inject_fault(harness, fault)
         async with trio.open_nursery() as nursery:
@@ -61,7 +61,7 @@
                 for node in {0, 1, 2} - set(harness.controllers):
                     harness.start(node)
         _inject_fault(harness, "none")
-        await harness.until(0, ended_job, "done", 60)
+        await harness.wait_for_phase(0, ended_job, "done", 60)
         await checker.ask_concurrently(ended_job, 0.5)
         for uid in (cancelled_job, early_cancelled):
             await checker.ask_concurrently(uid, 0.2)
@@ -70,10 +70,10 @@
         for uid in (cancelled_job, early_cancelled):
             first_cancelled = checker.first_answer(uid, "cancelled")
             last = max((at for at, _, _ in harness.starts(uid)), default=0.0)
-            assert first_cancelled is not None and last <= first_cancelled.at + REPORT_S, (
+            assert first_cancelled is not None and last <= first_cancelled.answered_at + REPORT_S, (
                 "a start after a confirmed cancellation"
             )
-            assert not checker.on(uid), "ran_cancelled"
+            assert not checker.active_tasks(uid), "ran_cancelled"
 
 
 @pytest.mark.parametrize("fault", ["none", "watches lag", "answers are lost", "the state service is slow"])
@@ -85,11 +85,11 @@
         checker = ConsistencyChecker(harness)
         uids = [await harness.submit(uid=f"req-{n:06d}", rungs=1) for n in range(8)]
         for uid in uids:
-            await harness.busy(uid)
+            await harness.worker_running(uid)
         _inject_fault(harness, fault)
 
         async def cancel_at_end(uid: str, after_s: float) -> None:
-            while checker.on(uid):
+            while checker.active_tasks(uid):
                 await trio.sleep(0.01)
             await trio.sleep(after_s)
             await checker.ask_concurrently(uid, 0.3)
@@ -117,13 +117,13 @@
     """The last task ends just after the confirmation, while the leader's watch is delayed and it would report done."""
     async with cluster(monkeypatch) as harness:
         checker, uid = ConsistencyChecker(harness), await harness.submit(rungs=1)
-        worker = await harness.busy(uid)
+        worker = await harness.worker_running(uid)
         await trio.sleep(2 * REPORT_S)
         leader = harness.leader()
         await _delay_watch(harness, leader, 2 * REPORT_S)
         await checker.ask((leader + 1) % 3, "cancel", uid)
-        worker.ends[f"{uid}/0"] = 0.0
-        await checker.ask_concurrently(uid, 4 * REPORT_S, every_s=0.3)
+        worker.phase_ends[f"{uid}/0"] = 0.0
+        await checker.ask_concurrently(uid, 4 * REPORT_S, interval_s=0.3)
         first_cancelled = checker.first_answer(uid, "cancelled")
         assert first_cancelled is not None and len(harness.starts(uid)) == 1
         checker.check()
@@ -136,7 +136,7 @@
     async with cluster(monkeypatch) as harness:
         checker, uid = ConsistencyChecker(harness), "req-000001"
         harness.jobs[uid] = job(uid)
-        harness.state.answer_s = lambda keys: 1.0 if keys[0].startswith("lf/j/") else 0.0
+        harness.state.answer_delay_s = lambda keys: 1.0 if keys[0].startswith("lf/j/") else 0.0
         await _delay_watch(harness, 0, 1.1)
         async with trio.open_nursery() as users:
             users.start_soon(checker.ask, 0, "POST", uid)
@@ -145,7 +145,7 @@
             assert cancelled is not None and cancelled.phase == "cancelled"
             users.start_soon(checker.ask, 0, "POST", uid)
         checker.check()
-        assert {observation.phase for observation in checker.seen[uid][1:]} == {"queued", "cancelled"}
+        assert {observation.phase for observation in checker.observations[uid][1:]} == {"queued", "cancelled"}
 
 
 async def _write_records(harness: Cluster, values: dict[str, Any]) -> None:
@@ -190,7 +190,7 @@
         await _delay_watch(harness, 0, 1.5)
         await _write_records(harness, {f"lf/j/{other}": accepted(harness.jobs[other], harness.jobs[dependent])})
         # Holds back the leader's write of the final record.
-        harness.state.keeps = lambda keys: f"lf/f/{dependent}" in keys
+        harness.state.withholds = lambda keys: f"lf/f/{dependent}" in keys
         await checker.ask(1, "cancel", needed)
         first_cancelled = await checker.ask(1, "GET", dependent)
         assert first_cancelled is not None and first_cancelled.phase == "cancelled"
@@ -240,7 +240,7 @@
 
         watch = controller.client.watch
         controller.client.page, controller.client.watch = page_then_end, delayed_watch  # type: ignore[method-assign]
-        harness.state.page_most = 3
+        harness.state.max_page_keys = 3
         await _restart_watch(harness, 1)
         await _write_records(harness, {"lf/f/req-19": {"phase": "done"}})
         await checker.ask(1, "GET", uid)
@@ -268,7 +268,7 @@
         _inject_fault(harness, "none")
         await trio.sleep(5)
         for uid, status in ((too_large, 422), (incomplete, 400)):
-            assert all(observation.status in (status, 404, 503) for observation in checker.seen[uid])
+            assert all(observation.status in (status, 404, 503) for observation in checker.observations[uid])
             for node in range(3):
                 observation = await checker.ask(node, "POST", uid)
                 assert observation is not None and observation.status == status
--- a/ladderfield/jobs/test_jobs.py
+++ b/ladderfield/jobs/test_jobs.py
@@ -150,7 +150,7 @@
         api, service = await serving_jobs_api(monkeypatch, nursery)
         begin, uids = trio.current_time(), [f"req-{n:06d}" for n in range(60)]
         assert set((await _submit(api, *uids)).values()) == {201}
-        assert trio.current_time() - begin < 0.5 and service.ledger <= 4
+        assert trio.current_time() - begin < 0.5 and service.revision <= 4
         records = [value for key, (value, _, _) in service.keys.items() if key.startswith("lf/j/")]
         assert sorted(uid for record in records for uid in record["jobs"]) == uids
         assert all(len(msgspec.json.encode(record)) < 16 * 1024 for record in records)
@@ -163,7 +163,7 @@
         reply = await api(Request("POST", "/api/jobs", msgspec.json.encode(job("req-000007", bundle="x" * 20_000))))
         assert reply is not None and reply.status == 400
         assert await _submit(api, "req-000001") == {"req-000001": 201}
-        assert service.ledger == 1
+        assert service.revision == 1
         nursery.cancel_scope.cancel()
 
 
--- a/ladderfield/jobs/test_needs.py
+++ b/ladderfield/jobs/test_needs.py
@@ -79,9 +79,9 @@
         nursery.start_soon(api.submissions.rollout.run)
         await trio.sleep(1)
         assert api.submissions.rollout.supports_dependencies
-        changes = service.ledger
+        changes = service.revision
         await trio.sleep(30)
-        assert service.ledger == changes
+        assert service.revision == changes
         nursery.cancel_scope.cancel()
 
 
@@ -90,7 +90,7 @@
         api, service = await serving_jobs_api(monkeypatch, nursery)
         await put(service, ALL_UPGRADED)
         await trio.sleep(1)
-        service.watch_lag = 0.1
+        service.watch_lag_s = 0.1
         await put(service, {f"lf/j/{A}": accepted(job(A))})
         assert (await submit(api, B, A))[0] == 201
         assert (await submit(api, C, A, "req-777777"))[0] == 422, "a needed job that was never accepted was not refused"
--- a/ladderfield/leader/test_failure_detector.py
+++ b/ladderfield/leader/test_failure_detector.py
@@ -4,11 +4,11 @@
 
 from ladderfield.clocks import CLOCK_DRIFT_FACTOR
 from ladderfield.connectivity.authority import Authority
-from ladderfield.testing.leader import SchedulerHarness, inherited, launched, rung
+from ladderfield.testing.leader import SchedulerHarness, inherited_records, launch_job, reported_task
 
 
 def test_claims_of_a_silent_machine_last_until_earlier_leaders_answers_expire() -> None:
-    harness = SchedulerHarness(inherited())
+    harness = SchedulerHarness(inherited_records())
     expires_at = (36.0 + 12.0) * CLOCK_DRIFT_FACTOR
     harness.scheduler.sweep(expires_at - 0.1)
     assert harness.machine().claims
@@ -17,7 +17,7 @@
 
 
 def test_the_wait_for_earlier_leaders_ends_when_all_others_are_followers() -> None:
-    harness = SchedulerHarness(inherited())
+    harness = SchedulerHarness(inherited_records())
     harness.scheduler.earlier.confirm_none_left(harness.scheduler.epoch, 3.0)
     harness.scheduler.sweep(3.0 + 12.0)
     assert harness.machine().claims, "an earlier leader may have renewed the lease until then"
@@ -27,8 +27,8 @@
 
 def test_a_lease_runs_from_our_last_answer() -> None:
     harness = SchedulerHarness()
-    launched(harness, 1)
-    harness.report(now=5.0, rungs=(rung(0, harness.machine().claims["req-000001", 0].attempt),))
+    launch_job(harness, 1)
+    harness.report(now=5.0, tasks=(reported_task(0, harness.machine().claims["req-000001", 0].attempt),))
     harness.scheduler.sweep(5.0 + 12.0)
     assert harness.machine().claims
     harness.scheduler.sweep(5.0 + 12.0 * CLOCK_DRIFT_FACTOR + 0.01)
--- a/ladderfield/leader/test_large_fleet.py
+++ b/ladderfield/leader/test_large_fleet.py
@@ -27,19 +27,19 @@
         fleet.submit(f"req-{number:06}", shape="daemon", rank="production", rungs=4, expectS=0)
     for number in range(ARRAYS):
         fleet.submit(f"req-{number + 500:06}", rungs=TASKS)
-    fleet.pass_time(8.0)
+    fleet.advance(8.0)
     all_tasks = SERVICES * 4 + ARRAYS * TASKS
     assert len(fleet.leader.scheduler.machines) == MACHINES
     assert len(fleet.running()) == all_tasks
     fleet.elect()
     assert sum(len(machine.claims) for machine in fleet.leader.scheduler.machines.values()) == all_tasks
     fleet.report_all()
-    fleet.pass_time(4.0)
+    fleet.advance(4.0)
     assert len(fleet.running()) == all_tasks, "a takeover neither stops nor starts a task"
     fleet.cut("zc")
-    fleet.pass_time(6.0)
+    fleet.advance(6.0)
     assert fleet.leader.scheduler.detector.cut_zones == {"zc"}
-    fleet.pass_time(LEASE_S + 10.0)
+    fleet.advance(LEASE_S + 10.0)
     assert len(fleet.running()) == all_tasks, "all tasks of the lost zone run elsewhere"
 
 
--- a/ladderfield/leader/test_limits.py
+++ b/ladderfield/leader/test_limits.py
@@ -13,7 +13,7 @@
 from ladderfield.leader.pages import encoded_size
 from ladderfield.settings import StateLimits
 from ladderfield.testing import TYPES, accepted, job
-from ladderfield.testing.leader import EPOCH_NOW, SchedulerHarness, rung
+from ladderfield.testing.leader import EPOCH_NOW, SchedulerHarness, reported_task
 
 VALUE_LIMIT_BYTES = 2 * 1024
 MAX_OPS = 5
@@ -36,8 +36,8 @@
         record.update(txn.puts)
         for key in txn.deletes:
             record.pop(key, None)
-        harness.stamp += 1
-        harness.ledger.applied(txn, harness.stamp, 2.0)
+        harness.revision += 1
+        harness.ledger.applied(txn, harness.revision, 2.0)
         ops += txn.ops
         times -= 1
     return ops
@@ -211,8 +211,8 @@
         again = harness.ledger.collect(True, 1)
         assert again is not None and set(again.puts) <= set(txn.puts)
         record.update(again.puts)
-        harness.stamp += 1
-        harness.ledger.applied(again, harness.stamp, 2.0)
+        harness.revision += 1
+        harness.ledger.applied(again, harness.revision, 2.0)
         assert len(read_back(record)[0]) == 120
 
 
@@ -230,10 +230,10 @@
             harness.ledger.refused(txn)
             continue
         record.update(txn.puts)
-        harness.stamp += 1
-        harness.ledger.applied(txn, harness.stamp, 2.0)
+        harness.revision += 1
+        harness.ledger.applied(txn, harness.revision, 2.0)
     assert 0 < refused < 5 and all(claim.recorded for claim in claims)
-    harness.on_record.update({key: (value, 5) for key, value in record.items()})
+    harness.records.update({key: (value, 5) for key, value in record.items()})
     assert len({claim.attempt for claim in claims}) == 400 and sorted(record) == sorted(set(record))
 
 
@@ -260,6 +260,6 @@
     record = old_record(1)
     harness = harness_with_small_limits({key: (value, 5) for key, value in record.items()})
     claim = harness.scheduler.jobs["req-000002"].claims[7]
-    harness.tell("req-000002", "cancelled")
-    orders = harness.report(claim.host, (rung(7, claim.attempt, uid="req-000002"),))
+    harness.record_final_state("req-000002", "cancelled")
+    orders = harness.report(claim.host, (reported_task(7, claim.attempt, uid="req-000002"),))
     assert [order["verb"] for order in orders] == ["stop"]
--- a/ladderfield/leader/test_orders.py
+++ b/ladderfield/leader/test_orders.py
@@ -11,14 +11,14 @@
 
 from ladderfield.fleet.capacity import Offer, Rental
 from ladderfield.http import Client, NoAnswerError
-from ladderfield.testing.leader import claimed_leader, session_report
+from ladderfield.testing.leader import leader_with_claim, session_report
 
 
 async def test_a_push_names_the_session_that_its_orders_were_made_for_even_if_it_has_ended(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The claim ends with the session and the task may start elsewhere, so its launch must not start it here too."""
-    leader = claimed_leader()
+    leader = leader_with_claim()
     sent: list[Any] = []
 
     async def call(self: Client, method: str, target: str, body: Any, timeout: float) -> tuple[int, bytes]:
@@ -38,7 +38,7 @@
 
 async def test_a_push_contains_no_launch_after_the_leader_lease_has_expired(monkeypatch: pytest.MonkeyPatch) -> None:
     """The claim is recorded, but another controller may be leader and have confirmed the job as cancelled."""
-    leader = claimed_leader()
+    leader = leader_with_claim()
     sent: list[Any] = []
 
     async def call(self: Client, method: str, target: str, body: Any, timeout: float) -> tuple[int, bytes]:
@@ -60,7 +60,7 @@
 async def test_rentals_and_deletions_are_authorised_after_the_wait_for_the_cloud_rate_limit(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    leader = claimed_leader()
+    leader = leader_with_claim()
     allowed: list[bool] = []
 
     async def rent(*arguments: Any) -> list[str]:
@@ -82,7 +82,7 @@
 async def test_nothing_is_rented_returned_or_deleted_after_the_leader_lease_has_expired(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    leader = claimed_leader()
+    leader = leader_with_claim()
     actions: list[str] = []
 
     async def delete(hosts: list[str]) -> None:
--- a/ladderfield/leader/test_pages.py
+++ b/ladderfield/leader/test_pages.py
@@ -7,7 +7,7 @@
 from ladderfield.leader.pages import encoded_size
 from ladderfield.queues.work import Claim
 from ladderfield.testing import accepted, job
-from ladderfield.testing.leader import ABOUT, EPOCH_NOW, SchedulerHarness, rung
+from ladderfield.testing.leader import EPOCH_NOW, MACHINE_RECORD, SchedulerHarness, reported_task
 
 ATTEMPT_BASE = EPOCH_NOW << 32
 
@@ -15,7 +15,7 @@
 def taken_over(*pages: dict[str, Any], finals: dict[str, Any] | None = None, tasks: int = 2) -> SchedulerHarness:
     """A leader that took over with a job and these pages recorded."""
     data: dict[str, Any] = {"lf/j/req-000001": (accepted(job(rungs=tasks)), 4)}
-    hosts = {"m": ABOUT, "n": ABOUT}
+    hosts = {"m": MACHINE_RECORD, "n": MACHINE_RECORD}
     data |= {f"lf/p/{number}": ({"hosts": hosts, "req-000001": page}, 6 + number) for number, page in enumerate(pages)}
     return SchedulerHarness(data | {f"lf/f/{uid}": (value, 9) for uid, value in (finals or {}).items()})
 
@@ -43,7 +43,7 @@
     harness = SchedulerHarness()
     harness.submit(rungs=5, cores=4.0, owner="blue")
     harness.report()
-    harness.record()
+    harness.write_records()
     attempt = harness.report()[0]["try"]
     machine = harness.machine()
     claim = machine.claims["req-000001", 0]
@@ -67,10 +67,10 @@
     while harness.scheduler.changed and len(harness.scheduler.unrecorded_claims) < 4000:
         harness.scheduler.schedule(2.0)
     claims = list(harness.scheduler.unrecorded_claims)
-    harness.record()
+    harness.write_records()
     for claim in claims[::2]:
         harness.scheduler.end(claim, True, 3.0)
-    harness.record()
+    harness.write_records()
     assert len(harness.scheduler.pages.pages) > 5
     assert all(encoded_size(page) <= 16 * 1024 for page in harness.scheduler.pages.pages)
     assert all(encoded_size(page) <= page.size + 2 for page in harness.scheduler.pages.pages)
@@ -82,11 +82,11 @@
     now = 2.0
     for _ in range(400):
         harness.report(now=now)
-        harness.record()
+        harness.write_records()
         for claim in list(harness.machine().claims.values()):
             harness.scheduler.end(claim, True, now)
         now += 1.0
-    harness.record()
+    harness.write_records()
     assert len(harness.scheduler.pages.pages) <= 2
 
 
@@ -94,7 +94,7 @@
     harness = taken_over({"a": {"0": [99, "m"]}}, {"a": {"0": [100, "n"]}})
     assert binding_claims(harness) == {0: 100}
     assert harness.scheduler.teams.cpus["red"] == 2.0
-    harness.report("m", (rung(0, 99),))
+    harness.report("m", (reported_task(0, 99),))
     assert harness.scheduler.machines["m"].reported_tasks, (
         "the machine lists attempt 99, which has no claim and would be stopped"
     )
@@ -108,24 +108,24 @@
 def test_page_entries_of_a_job_that_is_done_are_ignored_and_removed() -> None:
     harness = taken_over({"a": {"1": [99, "m"]}, "d": [[0, 0]]}, finals={"req-000001": {"phase": "done"}})
     assert binding_claims(harness) == {}
-    harness.record()
+    harness.write_records()
     assert not harness.scheduler.jobs and harness.scheduler.pages.pages[0].value() == {}
 
 
 def test_claims_of_a_cancelled_job_bind_until_its_attempts_have_exited() -> None:
     harness = taken_over({"a": {"1": [99, "m"]}}, finals={"req-000001": {"phase": "cancelled", "at": 995.0}})
     assert binding_claims(harness) == {1: 99}
-    harness.record()
+    harness.write_records()
     assert "req-000001" in harness.scheduler.jobs, (
         "the job must not be removed while its task may still run (ran_cancelled in a simulated day)"
     )
     assert harness.scheduler.sweep(11.0) == ["m"], (
         "half of cancel_s after the cancellation was confirmed, the machine is to be deleted"
     )
-    (order,) = harness.report("m", (rung(1, 99),))
+    (order,) = harness.report("m", (reported_task(1, 99),))
     assert order["verb"] == "stop"
-    harness.report("m", (rung(1, 99, "exited", "stopped"),))
-    harness.record()
+    harness.report("m", (reported_task(1, 99, "exited", "stopped"),))
+    harness.write_records()
     assert not harness.scheduler.jobs
 
 
@@ -135,7 +135,7 @@
     assert found.finished == {0, 1, 2, 4}
     claim: Claim = found.claims[3]
     harness.scheduler.end(claim, True, 1.0)
-    harness.record()
+    harness.write_records()
     assert (
         not found.unrecorded_done and sum(len(page.done.get(found, ())) for page in harness.scheduler.pages.pages) == 5
     )
@@ -161,7 +161,7 @@
         harness.submit(f"req-{number:06}", rungs=1, owner="blue", cores=4.0)
     for host in range(4):
         harness.report(f"m{host}")
-    harness.record()
+    harness.write_records()
     for machine in harness.scheduler.machines.values():
         for claim in list(machine.claims.values()):
             harness.scheduler.end(claim, True, 2.0)
--- a/ladderfield/leader/test_placement.py
+++ b/ladderfield/leader/test_placement.py
@@ -11,7 +11,7 @@
 
 from ladderfield.clocks import CLOCK_DRIFT_FACTOR
 from ladderfield.testing import accepted, job
-from ladderfield.testing.leader import EPOCH_NOW, SchedulerHarness, launched, rung
+from ladderfield.testing.leader import EPOCH_NOW, SchedulerHarness, launch_job, reported_task
 
 LEASE_S = 12.0 * CLOCK_DRIFT_FACTOR
 GRACE_S = 36.0  # how long an earlier leader may answer reports
@@ -42,7 +42,7 @@
             if host != without:
                 known = harness.scheduler.machines.get(host)
                 claims = [claim for claim in known.claims.values() if claim.recorded] if known else []
-                rungs = tuple(rung(claim.index, claim.attempt, uid=claim.job.uid) for claim in claims)
+                rungs = tuple(reported_task(claim.index, claim.attempt, uid=claim.job.uid) for claim in claims)
                 harness.report(host, rungs, now=now, yard="z" + host[0])
         harness.scheduler.sweep(now)
         harness.scheduler.schedule(now)
@@ -86,7 +86,7 @@
     where: dict[str, Any] = {placement: "zb" if placement == "yard" else True}
     harness.submit(owner="blue", rungs=3, cores=4.0, **where)
     zones = zones_after(harness, 1.0, 2.0)
-    harness.record()
+    harness.write_records()
     claims = harness.scheduler.jobs["req-000001"].claims
     lost = harness.machine(claims[0].host)
     zones_after(harness, 3.0, 3.0)
@@ -97,7 +97,7 @@
         assert zones_after(harness, 4.0, 3.0 + LEASE_S - 0.5, lost.host) == zones and claims[0].host == lost.host
         zones_after(harness, 3.0 + LEASE_S, 5.0 + LEASE_S, lost.host)
     else:
-        harness.report(lost.host, tenure=2, now=3.5, yard=lost.zone)
+        harness.report(lost.host, session=2, now=3.5, yard=lost.zone)
     zones_then = "".join(sorted(claim.zone[1] for claim in claims.values()))
     assert len(zones_then) == 3 and len(set(zones_then)) == (2 if placement == "spread" else 1)
     assert how == "new session" or claims[0].host != lost.host
@@ -141,14 +141,14 @@
 def test_a_cancelled_task_on_a_hung_machine_counts_until_the_machine_is_deleted(task_state: str) -> None:
     harness = SchedulerHarness()
     if task_state == "running":
-        attempt = launched(harness, 1, cores=4.0, oneZone=True)
-        harness.report(rungs=(rung(0, attempt),), now=2.0)
+        attempt = launch_job(harness, 1, cores=4.0, oneZone=True)
+        harness.report(tasks=(reported_task(0, attempt),), now=2.0)
     else:
         harness.submit(rungs=1, cores=4.0)
         harness.report()
-        harness.record()
+        harness.write_records()
         assert harness.scheduler.sessions.orders(harness.machine(), 2.0, None)
-    harness.tell(phase="cancelled")
+    harness.record_final_state(phase="cancelled")
     harness.submit("req-000002", rungs=4, cores=4.0)
     zones_after(harness, 3.0, 12.0)
     assert harness.scheduler.teams.cpus["red"] == 16.0 and len(harness.scheduler.jobs["req-000002"].claims) == 3
--- a/ladderfield/leader/test_resignation.py
+++ b/ladderfield/leader/test_resignation.py
@@ -17,7 +17,7 @@
 from ladderfield.rollout import REACH_EXCHANGE, Rollout
 from ladderfield.state import Outcome, StateServiceError
 from ladderfield.testing import settings
-from ladderfield.testing.leader import claimed_leader
+from ladderfield.testing.leader import leader_with_claim
 
 MIN_TERM_S = 1.0
 
@@ -26,7 +26,7 @@
     """A leader that should resign until ``heal`` is called."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.leader = claimed_leader()
+        self.leader = leader_with_claim()
         self.term, self.client = self.leader.term, self.leader.client
         workers = settings().cluster.workers
         self.reachability = Reachability(workers.report_s, workers.lease_s, 100)
--- a/ladderfield/leader/test_scheduler.py
+++ b/ladderfield/leader/test_scheduler.py
@@ -8,13 +8,13 @@
 from ladderfield.leader.pages import encoded_size
 from ladderfield.leadership import EPOCH
 from ladderfield.term import Term
-from ladderfield.testing.leader import EPOCH_NOW, SchedulerHarness, inherited, launched, rung
+from ladderfield.testing.leader import EPOCH_NOW, SchedulerHarness, inherited_records, launch_job, reported_task
 from ladderfield.workers.report import Report
 
 
 def test_a_claim_that_ends_before_its_block_is_opened_is_queued_once() -> None:
     """A claim released by the first report after a takeover had its task queued twice, so that it ran twice."""
-    harness = SchedulerHarness(inherited())
+    harness = SchedulerHarness(inherited_records())
     report = {
         "host": "m", "endpoint": "10.9.0.1:90", "flavour": "m4", "yard": "za", "loaners": False,
         "tenure": 1, "tick": 1, "epoch": EPOCH_NOW, "rungs": [],
@@ -29,7 +29,7 @@
 
 def test_a_claimed_task_that_is_still_queued_is_not_claimed_again() -> None:
     harness = SchedulerHarness()
-    launched(harness, 1, cores=4.0)
+    launch_job(harness, 1, cores=4.0)
     harness.scheduler.jobs["req-000001"].unqueued.append(0)
     harness.report("other")
     assert not harness.machine("other").claims and len(harness.machine("m").claims) == 1
@@ -55,14 +55,14 @@
 
 def test_production_replicas_preempt_only_lower_ranks() -> None:
     harness = SchedulerHarness()
-    attempt = launched(harness, 2)
-    harness.report(rungs=(rung(0, attempt), rung(1, attempt + 1)), now=2.0)
+    attempt = launch_job(harness, 2)
+    harness.report(tasks=(reported_task(0, attempt), reported_task(1, attempt + 1)), now=2.0)
     harness.submit("req-000002", rank="production", shape="daemon", cores=4.0, rungs=1)
     harness.scheduler.schedule(3.0)
     assert {claim.stop_reason for claim in harness.machine().claims.values()} == {"preempted"}
     production = SchedulerHarness()
-    attempt = launched(production, 2, rank="production")
-    production.report(rungs=(rung(0, attempt), rung(1, attempt + 1)), now=2.0)
+    attempt = launch_job(production, 2, rank="production")
+    production.report(rungs=(reported_task(0, attempt), reported_task(1, attempt + 1)), now=2.0)
     production.submit("req-000002", rank="production", shape="daemon", cores=4.0, rungs=1)
     production.scheduler.schedule(3.0)
     assert {claim.stop_reason for claim in production.machine().claims.values()} == {None}
@@ -99,7 +99,7 @@
     harness = SchedulerHarness()
     harness.submit("req-000002", owner="blue", rungs=2)
     harness.report()
-    harness.record()
+    harness.write_records()
     harness.report()
     harness.submit("req-000003", owner="red", rungs=1, rank="best_effort")
     harness.scheduler.schedule(2.0)
@@ -116,7 +116,7 @@
         harness.report(f"m{host}")
     harness.scheduler.schedule(2.0)
     assert harness.scheduler.jobs["req-000001"].next_block <= 2, "no more blocks than the machines can use"
-    harness.record()
+    harness.write_records()
     assert len(harness.scheduler.pages.pages) == 1
     for page in harness.scheduler.pages.pages:
         assert encoded_size(page) < 16 * 1024
@@ -131,7 +131,7 @@
             "nothing is started, rented or deleted before the lease is renewed"
         )
     harness = SchedulerHarness()
-    launched(harness, 1)
+    launch_job(harness, 1)
     harness.scheduler.sweep(33.0)
     txn = harness.ledger.collect(True)
     assert txn is not None and txn.guards[EPOCH] == 3, "a transaction of the old term fails on the epoch guard"
--- a/ladderfield/leader/test_sessions.py
+++ b/ladderfield/leader/test_sessions.py
@@ -2,7 +2,14 @@
 
 from __future__ import annotations
 
-from ladderfield.testing.leader import EPOCH_NOW, SchedulerHarness, inherited, launched, launched_by_push, rung
+from ladderfield.testing.leader import (
+    EPOCH_NOW,
+    SchedulerHarness,
+    inherited_records,
+    launch_by_push,
+    launch_job,
+    reported_task,
+)
 from ladderfield.view import Change
 
 
@@ -11,29 +18,29 @@
     harness.submit(rungs=1)
     assert harness.report() == []
     assert len(harness.machine().claims) == 1
-    harness.record()
+    harness.write_records()
     (order,) = harness.report()
     assert order["verb"] == "launch" and order["try"] >> 32 == EPOCH_NOW
 
 
 def test_a_pushed_launch_without_an_answer_is_resent_and_not_reaped_until_answered() -> None:
     harness = SchedulerHarness()
-    machine, order = launched_by_push(harness)
+    machine, order = launch_by_push(harness)
     assert harness.report(now=2.0) == [], "the attempt isn't listed, but a copy of the launch may still arrive"
     assert len(machine.claims) == 1
     (resent,) = harness.report(now=9.0)
     assert resent["try"] == order["try"]
-    harness.report(rungs=(rung(0, order["try"], "exited", "done"),), now=10.0)
-    harness.record()
-    assert harness.report(rungs=(rung(0, order["try"], "exited", "done"),), now=11.0) == []
+    harness.report(tasks=(reported_task(0, order["try"], "exited", "done"),), now=10.0)
+    harness.write_records()
+    assert harness.report(tasks=(reported_task(0, order["try"], "exited", "done"),), now=11.0) == []
     harness.scheduler.sessions.orders_answered(machine, [order["try"]], True)
-    (reap,) = harness.report(rungs=(rung(0, order["try"], "exited", "done"),), now=12.0)
+    (reap,) = harness.report(tasks=(reported_task(0, order["try"], "exited", "done"),), now=12.0)
     assert reap["verb"] == "reap"
 
 
 def test_each_unanswered_push_of_a_launch_needs_its_own_answer() -> None:
     harness = SchedulerHarness()
-    machine, order = launched_by_push(harness)
+    machine, order = launch_by_push(harness)
     harness.scheduler.sessions.orders(machine, 9.0, None)
     harness.scheduler.sessions.orders_answered(machine, [order["try"]], True)
     assert machine.unanswered_launches == {order["try"]: 1}
@@ -41,11 +48,11 @@
 
 def test_a_new_session_ends_claims_sent_to_the_old_session_but_not_unsent_ones() -> None:
     harness = SchedulerHarness()
-    launched(harness, 1)
+    launch_job(harness, 1)
     harness.submit("req-000002", rungs=1)
     harness.scheduler.schedule(2.0)
     assert len(harness.machine().claims) == 2
-    harness.report(tenure=2, now=15.0)
+    harness.report(session=2, now=15.0)
     claims = harness.machine().claims
     assert ("req-000002", 0) in claims
     assert claims["req-000001", 0].sent_session is None, (
@@ -54,7 +61,7 @@
 
 
 def test_an_inherited_claim_binds_until_the_machine_has_accepted_the_epoch() -> None:
-    harness = SchedulerHarness(inherited())
+    harness = SchedulerHarness(inherited_records())
     assert harness.report(epoch=6) == []
     assert next(iter(harness.machine().claims.values())).attempt == 99, (
         "an order of the earlier leader may still arrive"
@@ -68,35 +75,35 @@
 
 def test_a_report_older_than_the_last_one_is_ignored() -> None:
     harness = SchedulerHarness()
-    attempt = launched(harness, 1)
-    harness.report(rungs=(rung(0, attempt),), now=2.0)
-    harness.ticks["m"] -= 2
-    harness.report(rungs=(), now=3.0)
+    attempt = launch_job(harness, 1)
+    harness.report(tasks=(reported_task(0, attempt),), now=2.0)
+    harness.sequences["m"] -= 2
+    harness.report(tasks=(), now=3.0)
     assert harness.machine().reported_tasks == {("req-000001", 0): (attempt, "running")}
 
 
 def test_tasks_of_cancelled_jobs_are_stopped_and_none_starts() -> None:
     harness = SchedulerHarness()
-    attempt = launched(harness, 1)
+    attempt = launch_job(harness, 1)
     harness.submit("req-000002", rungs=1)
     for uid in ("req-000001", "req-000002"):
         harness.scheduler.take_changes([Change(f"lf/f/{uid}", {"phase": "cancelled", "at": 1002.0}, 20)], 2.0)
-    (order,) = harness.report(rungs=(rung(0, attempt),), now=2.5)
+    (order,) = harness.report(tasks=(reported_task(0, attempt),), now=2.5)
     assert order == {"verb": "stop", "rung": "req-000001/0", "try": attempt, "windDownS": 0.0}
-    harness.report(rungs=(rung(0, attempt, "exited", "stopped"),), now=3.0)
-    harness.record()
+    harness.report(tasks=(reported_task(0, attempt, "exited", "stopped"),), now=3.0)
+    harness.write_records()
     assert not harness.scheduler.jobs
 
 
 def test_a_checkpointing_task_gets_time_to_save_after_an_interruption_notice() -> None:
     harness = SchedulerHarness()
-    attempt = launched(harness, 1, markEveryS=10.0, markCostS=3.0)
-    harness.report(rungs=(rung(0, attempt),), now=2.0)
-    (order,) = harness.report(rungs=(rung(0, attempt),), now=3.0, recallS=10.0)
+    attempt = launch_job(harness, 1, markEveryS=10.0, markCostS=3.0)
+    harness.report(tasks=(reported_task(0, attempt),), now=2.0)
+    (order,) = harness.report(tasks=(reported_task(0, attempt),), now=3.0, recallS=10.0)
     assert order["verb"] == "stop" and order["windDownS"] >= 3.0
 
 
 def test_a_listed_task_without_a_claim_is_stopped() -> None:
     harness = SchedulerHarness()
-    (order,) = harness.report(rungs=(rung(0, 5),))
+    (order,) = harness.report(tasks=(reported_task(0, 5),))
     assert (order["verb"], order["try"]) == ("stop", 5)
--- a/ladderfield/leader/test_size.py
+++ b/ladderfield/leader/test_size.py
@@ -33,7 +33,7 @@
         harness.report(f"m{host:03}")
     while harness.scheduler.changed:
         harness.scheduler.schedule(1.5)
-    harness.record()
+    harness.write_records()
     checks = {"room": 0, "queues": 0}
     has_room, pick = Machine.has_room, Queues._pick
 
@@ -100,7 +100,7 @@
             harness.submit(f"req-{step * 5 + number + 100:06}", owner="blue", rungs=8, expectS=4.0)
         for host in range(10):
             harness.report(f"m{host}", now=now)
-        harness.record()
+        harness.write_records()
         harness.scheduler.schedule(now)
         large = harness.scheduler.jobs["req-000001"]
         if large.claims and started_at is None:
--- a/ladderfield/leader/test_stranded.py
+++ b/ladderfield/leader/test_stranded.py
@@ -10,7 +10,7 @@
 from ladderfield.fleet.plan import Planner
 from ladderfield.leader.scheduler import Scheduler
 from ladderfield.testing.cluster import cluster
-from ladderfield.testing.leader import SchedulerHarness, launched, launched_by_push, rung
+from ladderfield.testing.leader import SchedulerHarness, launch_by_push, launch_job, reported_task
 
 MAX_WAIT_S = 90.0  # once a machine that fits has free capacity
 
@@ -22,7 +22,7 @@
         harness.scheduler.sweep(now)
         for host in hosts:
             orders = harness.report(host, now=now)
-            harness.record(now)
+            harness.write_records(now)
             if any(order["verb"] == "launch" and order["rung"].startswith(uid) for order in orders):
                 return True
     return False
@@ -33,8 +33,8 @@
     harness = SchedulerHarness()
     for host in others:
         harness.report(host, yard="zb")
-    attempt = launched(harness, 1, yard="za")
-    harness.report(rungs=(rung(0, attempt, "exited", "error"),), now=2.0)
+    attempt = launch_job(harness, 1, yard="za")
+    harness.report(tasks=(reported_task(0, attempt, "exited", "error"),), now=2.0)
     assert not harness.report(now=2.5), "the retry is delayed"
     assert is_launched(harness, "req-000001", "m" + others, 3.0)
 
@@ -42,21 +42,21 @@
 @pytest.mark.parametrize("answer", [None, 409])
 def test_a_task_preempted_before_its_lost_launch_is_listed_starts_again(answer: int | None) -> None:
     harness = SchedulerHarness()
-    machine, order = launched_by_push(harness)
+    machine, order = launch_by_push(harness)
     harness.scheduler.stop(machine.claims["req-000001", 0], "preempted", 2.0)
     if answer is not None:
         harness.scheduler.sessions.orders_answered(machine, [order["try"]], False)
     listed: dict[str, dict[str, Any]] = {}
     for step in range(int(MAX_WAIT_S)):
-        for received in harness.report(rungs=tuple(listed.values()), now=2.0 + step):
+        for received in harness.report(tasks=tuple(listed.values()), now=2.0 + step):
             if received["verb"] == "launch":
-                listed.setdefault(received["rung"], rung(0, received["try"]))
+                listed.setdefault(received["rung"], reported_task(0, received["try"]))
             elif listed.get(received["rung"], {}).get("try") == received["try"]:
                 listed[received["rung"]] |= {"phase": "exited", "cause": "stopped"}
         if step == 10 and answer is None:
             assert machine.unanswered_launches == {order["try"]: 1}, "the unanswered launch may still arrive"
         harness.report("other", now=2.0 + step)
-        harness.record(2.0 + step)
+        harness.write_records(2.0 + step)
         if harness.scheduler.jobs["req-000001"].claims[0].attempt != order["try"]:
             assert answer or listed["req-000001/0"]["try"] == order["try"], (
                 "the listed attempt makes a late copy of the launch harmless"
@@ -73,11 +73,16 @@
     async with cluster(monkeypatch) as whole:
         whole.run_s = 200.0
         first = await whole.submit(shape="daemon", rungs=1, cores=1.0, yard="zb" if placement == "oneZone" else None)
-        await whole.busy(first)
+        await whole.worker_running(first)
         uid = await whole.submit(uid="req-000002", shape=shape, rungs=3, cores=3.0, expectS=200.0, **{placement: True})
         await trio.sleep(60)
         workers = whole.cloud.workers.values()
-        zones = sorted(str(worker.about["yard"]) for worker in workers for name in worker.on() if name.startswith(uid))
+        zones = sorted(
+            str(worker.report_fields["yard"])
+            for worker in workers
+            for name in worker.active_tasks()
+            if name.startswith(uid)
+        )
         assert zones in ([["za", "za", "zb"], ["za", "zb", "zb"]] if placement == "spread" else [["zb"] * 3])
 
 
@@ -107,15 +112,15 @@
 
 def test_capacity_freed_for_a_cancelled_replica_is_used_by_other_jobs() -> None:
     harness = SchedulerHarness()
-    attempt = launched(harness, 2)
-    both = (rung(0, attempt), rung(1, attempt + 1))
-    harness.report(rungs=both, now=2.0)
+    attempt = launch_job(harness, 2)
+    both = (reported_task(0, attempt), reported_task(1, attempt + 1))
+    harness.report(tasks=both, now=2.0)
     harness.submit("req-000002", rank="production", shape="daemon", cores=4.0, rungs=1)
     harness.scheduler.schedule(2.0)
     assert harness.machine().reserved_until > 2.0
-    harness.tell("req-000002", "cancelled")
-    stopped_tasks = (rung(0, attempt, "exited", "stopped"), rung(1, attempt + 1, "exited", "stopped"))
-    harness.report(rungs=stopped_tasks, now=3.0)
+    harness.record_final_state("req-000002", "cancelled")
+    stopped_tasks = (reported_task(0, attempt, "exited", "stopped"), reported_task(1, attempt + 1, "exited", "stopped"))
+    harness.report(tasks=stopped_tasks, now=3.0)
     assert is_launched(harness, "req-000001")
 
 
@@ -127,18 +132,21 @@
     async with cluster(monkeypatch) as whole:
         whole.run_s = 25.0
         service = await whole.submit(shape="daemon", rungs=8, cores=4.0, owner="blue")
-        await whole.busy(service)
+        await whole.worker_running(service)
         silent_workers = list(whole.cloud.workers.values())[:3]
         for worker in silent_workers:
-            worker.mute = True
+            worker.reporting_disabled = True
         if takeover:
             whole.crash(whole.leader())
         await trio.sleep(20)
         node = whole.leader()
         uid = await whole.submit(node, uid="req-000002", rungs=2, cores=4.0, owner="blue", expectS=25.0)
-        await whole.until(node, uid, "done", MAX_WAIT_S)
+        await whole.wait_for_phase(node, uid, "done", MAX_WAIT_S)
         running = {
-            name for worker in whole.cloud.workers.values() if worker not in silent_workers for name in worker.on()
+            name
+            for worker in whole.cloud.workers.values()
+            if worker not in silent_workers
+            for name in worker.active_tasks()
         }
         assert len([name for name in running if name.startswith(service)]) == 8, (
             "all replicas run on machines that report"
@@ -149,7 +157,7 @@
     async with cluster(monkeypatch) as whole:
         bound = await whole.submit(rungs=6, cores=4.0, owner="blue", yard="za")
         anywhere = await whole.submit(uid="req-000002", rungs=6, cores=4.0, owner="blue", rank="urgent")
-        await whole.busy(bound)
+        await whole.worker_running(bound)
         cut_addresses = [worker.address for worker in whole.cloud.workers.values()]
         whole.net.cut.update(cut_addresses)
         whole.cloud.down = True
@@ -157,7 +165,7 @@
         whole.net.cut.difference_update(cut_addresses)
         whole.cloud.down = False
         for uid in (bound, anywhere):
-            await whole.until(1, uid, "done", MAX_WAIT_S)
+            await whole.wait_for_phase(1, uid, "done", MAX_WAIT_S)
 
 
 async def test_small_jobs_at_a_high_rate_are_all_recorded_and_removed(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -206,13 +214,13 @@
 
 def test_pages_keep_nothing_of_a_partly_done_cancelled_job() -> None:
     harness = SchedulerHarness()
-    attempt = launched(harness, 2)
+    attempt = launch_job(harness, 2)
     empty = harness.scheduler.pages.pages[0].size
-    harness.report(rungs=(rung(0, attempt, "exited", "done"), rung(1, attempt + 1)), now=2.0)
-    harness.record()
-    harness.tell(phase="cancelled")
-    harness.report(rungs=(rung(1, attempt + 1, "exited", "stopped"),), now=3.0)
-    harness.record()
+    harness.report(tasks=(reported_task(0, attempt, "exited", "done"), reported_task(1, attempt + 1)), now=2.0)
+    harness.write_records()
+    harness.record_final_state(phase="cancelled")
+    harness.report(tasks=(reported_task(1, attempt + 1, "exited", "stopped"),), now=3.0)
+    harness.write_records()
     assert harness.scheduler.pages.pages[0].size < empty and not harness.scheduler.pages.pages[0].value()
     assert not (harness.scheduler.jobs or harness.scheduler.cancelled_at or harness.scheduler.clearable_records)
 
--- a/ladderfield/leader/test_unheard.py
+++ b/ladderfield/leader/test_unheard.py
@@ -16,7 +16,15 @@
 from ladderfield.state import StateClient
 from ladderfield.term import Term
 from ladderfield.testing import accepted, job, settings
-from ladderfield.testing.leader import ABOUT, EPOCH_NOW, SchedulerHarness, inherited, launched, launched_by_push, rung
+from ladderfield.testing.leader import (
+    EPOCH_NOW,
+    MACHINE_RECORD,
+    SchedulerHarness,
+    inherited_records,
+    launch_by_push,
+    launch_job,
+    reported_task,
+)
 from ladderfield.view import View
 from ladderfield.workers.machine import UNKNOWN, Machine
 from ladderfield.workers.report import Report, parse_report
@@ -29,7 +37,7 @@
 
 def test_launches_that_are_never_listed_mark_a_machine_unreachable() -> None:
     harness = SchedulerHarness()
-    launched(harness, 1)
+    launch_job(harness, 1)
     assert harness.report(now=2.0), "a launch lost once is sent again"
     assert not is_unreachable(harness)
     assert harness.report(now=3.0) == []
@@ -42,7 +50,7 @@
 
 
 def test_an_epoch_that_is_never_accepted_marks_a_machine_unreachable() -> None:
-    harness = SchedulerHarness(inherited())
+    harness = SchedulerHarness(inherited_records())
     for now in (1.0, 2.0, 3.0):
         harness.report(epoch=EPOCH_NOW - 1, now=now)
     assert is_unreachable(harness)
@@ -56,18 +64,18 @@
     for now in range(1, 20):
         harness.report(now=float(now))
     assert not is_unreachable(harness)
-    harness.report(now=20.0, tenure=2)
+    harness.report(now=20.0, session=2)
     assert is_unreachable(harness)
     silent = SchedulerHarness()
     silent.report(now=1.0)
-    silent.report(now=14.0, tenure=2)
+    silent.report(now=14.0, session=2)
     assert not is_unreachable(silent), "a machine that was cut off or suspended is healthy again"
 
 
 def test_an_unreachable_machine_is_deleted_unless_it_receives_answers_again() -> None:
     for recovers in (False, True):
         harness = SchedulerHarness()
-        launched(harness, 1)
+        launch_job(harness, 1)
         for now in (2.0, 3.0):
             harness.report(now=now)
         assert is_unreachable(harness)
@@ -82,20 +90,20 @@
 def test_a_relayed_machine_is_not_unreachable_because_our_own_calls_fail() -> None:
     """Its answers arrive through another controller, as the launches that it lists show."""
     harness = SchedulerHarness()
-    launched(harness, 1)
+    launch_job(harness, 1)
     machine = harness.machine()
     claim: Claim = machine.claims["req-000001", 0]
     harness.scheduler.sessions.note_ignored_message(machine, 1, 2.0)
-    harness.report(now=3.0, rungs=(rung(0, claim.attempt),))
+    harness.report(now=3.0, tasks=(reported_task(0, claim.attempt),))
     harness.scheduler.sessions.note_ignored_message(machine, 1, 4.0)
     assert not is_unreachable(harness), "the launch listed in between shows that it receives answers"
 
 
 def test_reports_without_our_epoch_do_not_count_as_signs_of_health() -> None:
     """Late copies of a dead machine's reports may keep arriving at a new leader."""
-    harness = SchedulerHarness(inherited())
+    harness = SchedulerHarness(inherited_records())
     for now in range(1, 14):
-        harness.report("m", (rung(0, 99),), now=float(now), epoch=EPOCH_NOW - 1)
+        harness.report("m", (reported_task(0, 99),), now=float(now), epoch=EPOCH_NOW - 1)
         harness.report("gone", now=float(now), epoch=EPOCH_NOW - 1)
     assert not harness.scheduler.usable(13.0)
     assert not harness.scheduler.sweep(23.0), (
@@ -110,8 +118,8 @@
 def test_a_late_copy_of_a_report_ends_no_claim_and_hides_no_silence() -> None:
     harness = SchedulerHarness()
     harness.report(now=1.0)
-    attempt = launched(harness, 1)
-    harness.report(rungs=(rung(0, attempt),), now=4.0)
+    attempt = launch_job(harness, 1)
+    harness.report(tasks=(reported_task(0, attempt),), now=4.0)
     late_report: dict[str, Any] = {
         "host": "m", "endpoint": "10.9.0.1:90", "flavour": "m4", "yard": "za", "loaners": False,
         "tenure": 1, "tick": 1, "epoch": EPOCH_NOW, "rungs": [],
@@ -148,7 +156,7 @@
 def test_machines_that_an_earlier_leader_may_still_answer_are_not_deleted() -> None:
     """A leader lost only the state service; its successor received no reports and deleted 400 healthy machines."""
     claims = {str(number): [99, host] for number, host in enumerate("abc")}
-    pages = {"lf/p/0": ({"hosts": dict.fromkeys("abc", ABOUT), "req-000001": {"a": claims}}, 6)}
+    pages = {"lf/p/0": ({"hosts": dict.fromkeys("abc", MACHINE_RECORD), "req-000001": {"a": claims}}, 6)}
     job_key = {"lf/j/req-000001": (accepted(job(rungs=3)), 4)}
     harness = SchedulerHarness(job_key | pages)
     assert harness.scheduler.sweep(30.0) == []
@@ -194,7 +202,7 @@
 
 def test_a_claim_with_an_outstanding_launch_does_not_end_on_an_unreachable_machine() -> None:
     harness = SchedulerHarness()
-    machine, order = launched_by_push(harness)
+    machine, order = launch_by_push(harness)
     harness.scheduler.sessions.orders(machine, 9.0, None)
     harness.scheduler.sessions.orders_answered(machine, [order["try"]], False)
     assert machine.unanswered_launches == {order["try"]: 1}, "one copy was refused, the other is outstanding"
@@ -233,7 +241,7 @@
         harness.report(host, now=2.0)
     missing = harness.scheduler.machines["m"] = Machine("m", "10.9.0.1:90", harness.machine("a").kind, "za", False, 0.0)
     harness.submit(rungs=1)
-    missing.claims[("req-000001", 0)] = Claim(harness.scheduler.jobs["req-000001"], 0, 99, "m", ABOUT)
+    missing.claims[("req-000001", 0)] = Claim(harness.scheduler.jobs["req-000001"], 0, 99, "m", MACHINE_RECORD)
     for now, to_delete in ((8.4, False), (8.6, True)):
         for host in "abcde":
             harness.report(host, now=now)
@@ -251,7 +259,7 @@
     harness.submit(rungs=2, cores=4.0)
     harness.submit("req-000002", shape="daemon", rungs=1, cores=1.0)
     harness.scheduler.schedule(1.0)
-    harness.record()
+    harness.write_records()
     cut_off_hosts = {claim.host for job in harness.scheduler.jobs.values() for claim in job.claims.values()} - {"c"}
     to_delete = {host for host in cut_off_hosts if harness.scheduler.machines[host].replicas}
     for now in (5.0, 9.0, 13.0, 14.0, 18.0, 22.9):
@@ -268,7 +276,7 @@
         and all(harness.scheduler.detector.cut_off(harness.scheduler.machines[host], 22.9) for host in kept)
     )
     for host in kept:
-        harness.report(host, yard="zb", now=23.0, tenure=2)
+        harness.report(host, yard="zb", now=23.0, session=2)
     assert kept <= {machine.host for machine in harness.scheduler.usable(23.0)}, "healthy again"
 
 
--- a/ladderfield/leader/test_waiting.py
+++ b/ladderfield/leader/test_waiting.py
@@ -6,7 +6,7 @@
 
 from ladderfield.fleet.plan import Planner
 from ladderfield.testing import accepted, job
-from ladderfield.testing.leader import ABOUT, EPOCH_NOW, SchedulerHarness, rung
+from ladderfield.testing.leader import EPOCH_NOW, MACHINE_RECORD, SchedulerHarness, reported_task
 
 A, B, C = "req-000001", "req-000002", "req-000003"
 
@@ -28,10 +28,10 @@
 def finish(harness: SchedulerHarness, uid: str, now: float) -> None:
     """Run the job's only task to its end."""
     claim = harness.scheduler.jobs[uid].claims[0]
-    harness.record(now)
+    harness.write_records(now)
     harness.report(now=now)
-    harness.report(rungs=(rung(0, claim.attempt, uid=uid),), now=now)
-    harness.report(rungs=(rung(0, claim.attempt, "exited", "done", uid=uid),), now=now)
+    harness.report(tasks=(reported_task(0, claim.attempt, uid=uid),), now=now)
+    harness.report(tasks=(reported_task(0, claim.attempt, "exited", "done", uid=uid),), now=now)
 
 
 def test_each_stage_starts_only_once_the_end_of_the_stage_before_is_recorded() -> None:
@@ -41,11 +41,11 @@
     finish(harness, A, 2.0)
     harness.scheduler.schedule(2.0)
     assert claimed(harness) == set(), "the end of A is not recorded yet"
-    harness.record(3.0)
+    harness.write_records(3.0)
     harness.scheduler.schedule(3.0)
     assert claimed(harness) == {B} and harness.scheduler.jobs[B].ready_since == 3.0
     finish(harness, B, 4.0)
-    harness.record(4.0)
+    harness.write_records(4.0)
     harness.scheduler.schedule(4.0)
     assert claimed(harness) == {C}
 
@@ -59,7 +59,7 @@
     harness = SchedulerHarness(data)
     harness.report()
     assert claimed(harness) == set()
-    harness.record(2.0)
+    harness.write_records(2.0)
     harness.scheduler.schedule(2.0)
     assert claimed(harness) == {B}
 
@@ -75,7 +75,7 @@
         harness.ledger.retry_with_revisions(txn, {f"lf/f/{A}": 17})
         harness.scheduler.schedule(2.0)
         assert claimed(harness) == set() and not harness.scheduler.cancelled_dependents
-        harness.tell(A, phase)
+        harness.record_final_state(A, phase)
         harness.scheduler.schedule(2.0)
         assert claimed(harness) == ({B} if phase == "done" else set())
         assert {job.uid for job in harness.scheduler.cancelled_dependents} == (
@@ -86,13 +86,13 @@
 def test_dependents_of_a_cancelled_job_get_a_final_record_and_are_removed() -> None:
     harness = pipeline()
     harness.report()
-    harness.tell(A, "cancelled")
+    harness.record_final_state(A, "cancelled")
     harness.submit("req-000004", waitsOn=[C])  # submitted after C was cancelled
-    harness.record(2.0)
+    harness.write_records(2.0)
     assert {B, C, "req-000004"}.isdisjoint(claimed(harness))
     for uid in (B, C, "req-000004"):
         assert harness.scheduler.jobs[uid].final_phase == "cancelled"
-        harness.tell(uid, "cancelled")
+        harness.record_final_state(uid, "cancelled")
     assert set(harness.scheduler.jobs) <= {A}
 
 
@@ -101,7 +101,7 @@
     harness.submit(A)
     for number in range(100, 150):
         harness.submit(f"req-{number:06}", waitsOn=[A])
-    harness.tell(A, "cancelled")
+    harness.record_final_state(A, "cancelled")
     harness.ledger.max_ops = 5
     sizes = []
     while (txn := harness.ledger.collect(True)) is not None:
@@ -115,7 +115,7 @@
     harness = pipeline(rank="best_effort")
     harness.submit("req-000009", waitsOn=[A], rungs=500, owner="blue")
     harness.report()
-    harness.record()
+    harness.write_records()
     planner = Planner(harness.scheduler)
     assert planner.rentals(2.0) == [] and harness.scheduler.teams.cpus["blue"] == 0.0
     assert all(
@@ -151,13 +151,13 @@
     data = {
         f"lf/j/{A}": (accepted(job(A, rungs=1)), 4),
         f"lf/j/{B}": (accepted(job(B, rungs=1, waitsOn=[A])), 5),
-        "lf/p/0": ({"hosts": {"m": ABOUT}, A: {"a": {"0": [(EPOCH_NOW - 1) << 32, "m"]}}}, 6),
+        "lf/p/0": ({"hosts": {"m": MACHINE_RECORD}, A: {"a": {"0": [(EPOCH_NOW - 1) << 32, "m"]}}}, 6),
     }
     harness = SchedulerHarness(data)
-    harness.report(rungs=(rung(0, (EPOCH_NOW - 1) << 32, uid=A),))
+    harness.report(tasks=(reported_task(0, (EPOCH_NOW - 1) << 32, uid=A),))
     assert claimed(harness) == {A} and B in harness.scheduler.jobs
-    harness.report(rungs=(rung(0, (EPOCH_NOW - 1) << 32, "exited", "done", uid=A),), now=2.0)
+    harness.report(tasks=(reported_task(0, (EPOCH_NOW - 1) << 32, "exited", "done", uid=A),), now=2.0)
     assert claimed(harness) == set()
-    harness.record(3.0)
+    harness.write_records(3.0)
     harness.scheduler.schedule(3.0)
     assert claimed(harness) == {B}
--- a/ladderfield/test_cancelled.py
+++ b/ladderfield/test_cancelled.py
@@ -32,7 +32,7 @@
 
 def running_tasks(whole: Cluster, uid: str) -> list[str]:
     """The job's tasks that are on machines."""
-    return [name for name in whole.on() if name.startswith(f"{uid}/")]
+    return [name for name in whole.active_tasks() if name.startswith(f"{uid}/")]
 
 
 async def assert_stopped_in_time(whole: Cluster, uid: str, confirmed_at: float, within: float = CANCEL_S) -> None:
@@ -50,9 +50,9 @@
     """During an election and the takeover that follows it."""
     async with cluster(monkeypatch) as whole:
         service = await whole.submit(shape="daemon", rungs=3)
-        await whole.busy(service)
+        await whole.worker_running(service)
         array = await whole.submit(uid="req-000002", rungs=30, owner="blue")
-        await whole.busy(array)
+        await whole.worker_running(array)
         old_leader = whole.leader()
         whole.crash(old_leader)
         await trio.sleep(delay_s)
@@ -67,12 +67,12 @@
     """Without a notice the leader would go on starting the job's tasks for as long as its watch lags."""
     async with cluster(monkeypatch) as whole:
         uid = await whole.submit(rungs=400, owner="blue")
-        await whole.busy(uid)
+        await whole.worker_running(uid)
         await trio.sleep(8)
         for worker in whole.cloud.workers.values():
             worker.run_s = 0.4  # so that there is always a task to start
         await trio.sleep(6)
-        whole.state.watch_lag = 6.0
+        whole.state.watch_lag_s = 6.0
         node = next(n for n in whole.controllers if n != whole.leader())
         confirmed_at = await cancel(whole, node, uid)
         await assert_stopped_in_time(whole, uid, confirmed_at, 5.0)
@@ -88,7 +88,7 @@
     """A machine that resumes within its lease runs the task until it is ordered to stop; another has to be deleted."""
     async with cluster(monkeypatch) as whole:
         uid = await whole.submit(shape="daemon", rungs=4)
-        worker = await whole.busy(uid)
+        worker = await whole.worker_running(uid)
         await trio.sleep(8)
         whole.cloud.down = cloud_down
         worker.hang(hang_s)
@@ -108,13 +108,13 @@
     """
     async with cluster(monkeypatch) as whole:
         uid = await whole.submit(shape="daemon", rungs=4)
-        await whole.busy(uid)
+        await whole.worker_running(uid)
         await trio.sleep(8)
         old_leader = whole.leader()
         whole.cloud.down = True
         await isolate(whole, old_leader)
         for worker in whole.cloud.workers.values():
-            worker.hold = True  # /orders are held back
+            worker.withhold_orders = True  # /orders are held back
         await trio.sleep(6)
         new_leader = whole.leader()
         assert new_leader != old_leader
@@ -130,24 +130,24 @@
     """The order arrives after the cancellation, and again after the job's records were removed."""
     async with cluster(monkeypatch) as whole:
         await whole.submit(shape="daemon", rungs=1, loaners=False)
-        worker = await whole.busy("req-000001")
+        worker = await whole.worker_running("req-000001")
         await trio.sleep(4)
-        worker.hold = True
+        worker.withhold_orders = True
         uid = await whole.submit(uid="req-000002", rungs=1, loaners=False, shape="daemon")
         for _ in range(20):
             await trio.sleep(0.1)
-            if worker.held:
+            if worker.withheld_orders:
                 break
-        assert worker.held, "the launch was sent by /orders"
+        assert worker.withheld_orders, "the launch was sent by /orders"
         confirmed_at = await cancel(whole, 1, uid)
         await trio.sleep(4)
-        worker.hold = False
-        for body in worker.held:
-            worker.late(body)
+        worker.withhold_orders = False
+        for body in worker.withheld_orders:
+            worker.handle_orders(body)
         assert running_tasks(whole, uid) or worker.dead
         await trio.sleep_until(confirmed_at + CANCEL_S / 2)
         assert not running_tasks(whole, uid)
-        for body in worker.held:
-            worker.late(body)
+        for body in worker.withheld_orders:
+            worker.handle_orders(body)
         await trio.sleep_until(confirmed_at + CANCEL_S)
         assert not running_tasks(whole, uid)
--- a/ladderfield/test_controller_failures.py
+++ b/ladderfield/test_controller_failures.py
@@ -14,50 +14,50 @@
 async def test_a_crashed_leader_is_replaced_and_no_task_runs_twice(monkeypatch: pytest.MonkeyPatch) -> None:
     async with cluster(monkeypatch) as whole:
         uid = await whole.submit(rungs=16, cores=2.0)
-        await whole.busy(uid)
+        await whole.worker_running(uid)
         first = whole.leader()
         whole.crash(first)
         await trio.sleep(8)
         assert whole.leader() != first
         survivor = next(iter(whole.controllers))
-        await whole.until(survivor, uid, "done", 60)
+        await whole.wait_for_phase(survivor, uid, "done", 60)
         assert len(whole.starts(uid)) == 16
 
 
 async def test_a_job_finishes_after_all_controllers_crashed(monkeypatch: pytest.MonkeyPatch) -> None:
     async with cluster(monkeypatch) as whole:
         uid = await whole.submit(rungs=12)
-        await whole.busy(uid)
+        await whole.worker_running(uid)
         for number in range(3):
             whole.crash(number)
         await trio.sleep(3)
         for number in range(3):
             whole.start(number)
         await trio.sleep(3)
-        await whole.until(1, uid, "done", 80)
+        await whole.wait_for_phase(1, uid, "done", 80)
         assert len(whole.starts(uid)) == 12
 
 
 async def test_workers_reject_the_orders_of_a_deposed_leader(monkeypatch: pytest.MonkeyPatch) -> None:
     async with cluster(monkeypatch) as whole:
         uid = await whole.submit(shape="daemon", rungs=2)
-        await whole.busy(uid)
+        await whole.worker_running(uid)
         old_term = whole.controllers[whole.leader()].leadership.term
         assert old_term is not None
         whole.crash(whole.leader())
         await trio.sleep(8)
         for worker in whole.cloud.workers.values():
-            assert not worker.late({"epoch": old_term.epoch, "tenure": worker.tenure, "orders": []})
+            assert not worker.handle_orders({"epoch": old_term.epoch, "tenure": worker.session, "orders": []})
 
 
 async def test_an_outage_of_the_state_service_stops_no_task(monkeypatch: pytest.MonkeyPatch) -> None:
     async with cluster(monkeypatch) as whole:
         uid = await whole.submit(shape="daemon", rungs=2)
-        await whole.busy(uid)
+        await whole.worker_running(uid)
         epoch = whole.controllers[whole.leader()].leadership.term.epoch  # type: ignore[union-attr]
         whole.state.down = True
         await trio.sleep(25)
-        assert sum(whole.on().values()) == 2
+        assert sum(whole.active_tasks().values()) == 2
         status, _ = await whole.call(0, "POST", "/api/jobs", job("req-000009"))
         assert status == 503
         whole.state.down = False
@@ -69,7 +69,7 @@
 async def test_a_leader_that_alone_loses_the_state_service_is_replaced(monkeypatch: pytest.MonkeyPatch) -> None:
     async with cluster(monkeypatch) as whole:
         uid = await whole.submit(shape="daemon", rungs=2)
-        await whole.busy(uid)
+        await whole.worker_running(uid)
         first = whole.leader()
         isolated = whole.controllers[first]
 
@@ -82,13 +82,13 @@
         assert whole.leader() != first
         assert isolated.leadership.term is None
         assert len(whole.starts(uid)) == 2
-        assert sum(whole.on().values()) == 2
+        assert sum(whole.active_tasks().values()) == 2
 
 
 async def test_an_exception_in_the_scheduler_ends_only_the_term(monkeypatch: pytest.MonkeyPatch) -> None:
     async with cluster(monkeypatch) as whole:
         uid = await whole.submit(shape="daemon", rungs=2)
-        await whole.busy(uid)
+        await whole.worker_running(uid)
         term = whole.controllers[whole.leader()].leadership.term
         assert term is not None
         with monkeypatch.context() as broken:
@@ -104,7 +104,7 @@
 async def test_a_leader_isolated_from_all_but_its_workers_is_replaced(monkeypatch: pytest.MonkeyPatch) -> None:
     async with cluster(monkeypatch) as whole:
         uid = await whole.submit(shape="daemon", rungs=3)
-        await whole.busy(uid)
+        await whole.worker_running(uid)
         await trio.sleep(3)
         first = whole.leader()
         await isolate(whole, first)
@@ -116,21 +116,21 @@
         assert whole.leader() != first
         other = whole.leader()
         second = await whole.submit(other, uid="req-000002", rungs=4)
-        await whole.until(other, second, "done", 40)
+        await whole.wait_for_phase(other, second, "done", 40)
         assert len(whole.starts(uid)) == 3, "no replica was restarted"
 
 
 async def test_a_follower_isolated_from_all_but_its_workers_disturbs_no_task(monkeypatch: pytest.MonkeyPatch) -> None:
     async with cluster(monkeypatch) as whole:
         uid = await whole.submit(shape="daemon", rungs=3)
-        await whole.busy(uid)
+        await whole.worker_running(uid)
         first = whole.leader()
         await isolate(whole, next(n for n in whole.controllers if n != first))
         whole.crash(first)
         await trio.sleep(0.2)
         whole.start(first)
         await trio.sleep(40)
-        assert len(whole.starts(uid)) == 3 and sum(whole.on().values()) == 3
+        assert len(whole.starts(uid)) == 3 and sum(whole.active_tasks().values()) == 3
 
 
 async def test_jobs_finish_after_quick_restarts_during_elections_with_unanswered_writes(
@@ -139,7 +139,7 @@
     async with cluster(monkeypatch) as whole:
         uid = await whole.submit(rungs=12)
         service = await whole.submit(uid="req-000002", shape="daemon", rungs=2)
-        await whole.busy(uid)
+        await whole.worker_running(uid)
         for pause in (0.05, 0.3, 1.1, 2.05):
             whole.state.lose_answers = 2
             for number in list(whole.controllers):
@@ -148,7 +148,7 @@
                 whole.start(number)
             await trio.sleep(pause)
         await trio.sleep(5)
-        await whole.until(1, uid, "done", 90)
+        await whole.wait_for_phase(1, uid, "done", 90)
         assert [await whole.phase(node, service) for node in range(3)] == ["running"] * 3
         assert len({name for _, name, _ in whole.starts(uid)}) == 12
 
@@ -159,7 +159,7 @@
     """Guards against a leader that goes on answering its workers while the cloud, which could list them, is down."""
     async with cluster(monkeypatch) as whole:
         uid = await whole.submit(shape="daemon", rungs=4)
-        await whole.busy(uid)
+        await whole.worker_running(uid)
         await trio.sleep(3)
         first = whole.leader()
         whole.cloud.down = True
@@ -172,7 +172,7 @@
         isolated.client._client.call = isolated.client._watcher.call = unavailable  # type: ignore[method-assign]
         await trio.sleep(8)
         assert isolated.leadership.term is None, "its peers reported the new leader"
-        _, answer = await whole.call(first, "POST", "/v1/report", whole.cloud.workers["i-000000"].body())
+        _, answer = await whole.call(first, "POST", "/v1/report", whole.cloud.workers["i-000000"].report())
         assert answer.get("foreman") == f"n{whole.leader()}" or answer.get("epoch") == 2, (
             "it names the new leader, or relays to it"
         )
@@ -186,7 +186,7 @@
     """Peers relay the reports; that the leader's own calls fail is no evidence against the machines."""
     async with cluster(monkeypatch) as whole:
         uid = await whole.submit(shape="daemon", rungs=4)
-        await whole.busy(uid)
+        await whole.worker_running(uid)
         await trio.sleep(3)
         first = whole.leader()
         host = f"10.0.0.{first + 1}"
@@ -194,4 +194,4 @@
         whole.net.cut_ports.update((worker.address, 90) for worker in whole.cloud.workers.values())
         await trio.sleep(60)
         assert whole.leader() == first
-        assert len(whole.starts(uid)) == 4 and sum(whole.on().values()) == 4
+        assert len(whole.starts(uid)) == 4 and sum(whole.active_tasks().values()) == 4
--- a/ladderfield/test_grace.py
+++ b/ladderfield/test_grace.py
@@ -20,7 +20,7 @@
 from ladderfield.rollout import CANCELLATION_SYNC, VERSION_PREFIX
 from ladderfield.term import Term, grace_s
 from ladderfield.testing import SETTINGS, settings
-from ladderfield.testing.cluster import Cluster, cluster, refuse, silent_peer
+from ladderfield.testing.cluster import Cluster, cluster, refuse_state_requests, silent_peer
 
 CANCEL_S = SETTINGS["cluster"]["workers"]["cancel_s"]
 LEASE_S = SETTINGS["cluster"]["workers"]["lease_s"]
@@ -38,16 +38,16 @@
     """A service to be cancelled and one to keep, both running, with all controllers up to date."""
     cancelled_uid = await whole.submit(shape="daemon", rungs=3)
     kept_uid = await whole.submit(uid="req-000002", shape="daemon", rungs=2)
-    await whole.busy(cancelled_uid)
-    await whole.busy(kept_uid)
+    await whole.worker_running(cancelled_uid)
+    await whole.worker_running(kept_uid)
     await trio.sleep(8)
-    assert sum(whole.on().values()) == 5
+    assert sum(whole.active_tasks().values()) == 5
     return cancelled_uid, kept_uid
 
 
 def running_tasks(whole: Cluster, uid: str) -> list[str]:
     """The job's tasks that are on machines."""
-    return [name for name in whole.on() if name.startswith(f"{uid}/")]
+    return [name for name in whole.active_tasks() if name.startswith(f"{uid}/")]
 
 
 async def cancel(whole: Cluster, node: int, uid: str) -> float:
@@ -69,7 +69,7 @@
         cancelled_uid, kept_uid = await replicas(whole)
         leader = whole.leader()
         other, third = (n for n in whole.controllers if n != leader)
-        refuse(whole, leader)
+        refuse_state_requests(whole, leader)
         if peers == "all unreachable":
             cut_peer_links(whole, leader)
         elif peers == "one down":
@@ -102,7 +102,9 @@
         await trio.sleep(grace_s(settings()) - 4)
         assert len(running_tasks(whole, kept_uid)) == 2
         await trio.sleep_until(restarted_at + grace_s(settings()) + LEASE_S + 3)
-        assert not whole.on(), "a restarted controller knows nothing for certain about the time before its start"
+        assert not whole.active_tasks(), (
+            "a restarted controller knows nothing for certain about the time before its start"
+        )
         whole.state.down = False
         await trio.sleep(30)
         assert len(running_tasks(whole, kept_uid)) == 2 and len(whole.starts(kept_uid)) == 4
@@ -113,7 +115,7 @@
         cancelled_uid, kept_uid = await replicas(whole)
         whole.state.down = True
         await trio.sleep(4 * CANCEL_S)
-        assert len(whole.on()) == 5
+        assert len(whole.active_tasks()) == 5
         whole.state.down = False
         await trio.sleep(5)
         await cancel(whole, 0, cancelled_uid)
@@ -137,7 +139,7 @@
             return await real(kind, body, timeout, status)
 
         link.ask = ask  # type: ignore[method-assign]
-        refuse(whole, leader)
+        refuse_state_requests(whole, leader)
         confirmed_at = await cancel(whole, other, cancelled_uid)
         whole.state.down = True
         await trio.sleep_until(confirmed_at + CANCEL_S)
@@ -154,7 +156,7 @@
         leader = whole.leader()
         other = next(n for n in whole.controllers if n != leader)
         await whole.controllers[other].links[f"n{leader}"].ask(CANCELLATION_NOTICE, b"req-000003", 1.0)
-        whole.state.watch_lag = 0.5
+        whole.state.watch_lag_s = 0.5
         await whole.submit(other, uid="req-000003", rungs=4)
         await trio.sleep(5)
         assert not whole.starts("req-000003")
@@ -167,7 +169,7 @@
     async with cluster(monkeypatch) as whole:
         cancelled_uid, _ = await replicas(whole)
         for worker in whole.cloud.workers.values():
-            worker.obey = without_stop_orders(worker.obey)  # type: ignore[method-assign]
+            worker.apply_orders = without_stop_orders(worker.apply_orders)  # type: ignore[method-assign]
         whole.cloud.down = True
         confirmed_at = await cancel(whole, 1, cancelled_uid)
         await trio.sleep_until(confirmed_at + LEASE_S)
@@ -196,7 +198,7 @@
                 claim_keys = [key for key, (value, _, _) in whole.state.keys.items() if "lf/p/" in key and uid in value]
                 if claim_keys:
                     break
-            refuse(whole, leader)
+            refuse_state_requests(whole, leader)
             whole.state.down = True
             await trio.sleep(3)
         assert claim_keys, "its claims are recorded"
--- a/ladderfield/test_link_cuts.py
+++ b/ladderfield/test_link_cuts.py
@@ -10,10 +10,10 @@
     LINKS,
     REPORT_S,
     Scenario,
-    address,
-    blocked,
+    controller_host,
     further_scenarios,
-    play,
+    links_of,
+    run_scenario,
     sample,
     scenarios,
 )
@@ -31,14 +31,14 @@
 
 @pytest.mark.parametrize("scenario", sample(CI_SCENARIOS, SEED), ids=str)
 async def test_a_cut_link_breaks_no_rule(monkeypatch: pytest.MonkeyPatch, scenario: Scenario) -> None:
-    assert await play(monkeypatch, scenario) == []
+    assert await run_scenario(monkeypatch, scenario) == []
 
 
 @pytest.mark.parametrize("scenario", sample(CI_FURTHER_SCENARIOS, FURTHER_SEED, further_scenarios()), ids=str)
 async def test_a_cut_link_breaks_no_rule_with_another_controller_failing_or_leadership_by_reach(
     monkeypatch: pytest.MonkeyPatch, scenario: Scenario
 ) -> None:
-    assert await play(monkeypatch, scenario) == []
+    assert await run_scenario(monkeypatch, scenario) == []
 
 
 @pytest.mark.parametrize("mode", ["silent", "refused"])
@@ -48,14 +48,14 @@
         first = whole.leader()
         epoch = whole.controllers[first].leadership.known_epoch()
         cuts = whole.net.silent if mode == "silent" else whole.net.refused
-        cuts.update(blocked(whole, first, "state"))
+        cuts.update(links_of(whole, first, "state"))
         await trio.sleep(4 * REPORT_S)
         assert whole.leader() != first and not whole.controllers[first].reachability.state_ok
         assert whole.controllers[whole.leader()].leadership.known_epoch() > epoch
         assert all(
             controller.reachability.state_ok for number, controller in whole.controllers.items() if number != first
         )
-        whole.net.mend()
+        whole.net.heal()
         await trio.sleep(4 * REPORT_S)
         assert whole.controllers[first].reachability.state_ok
 
@@ -63,13 +63,13 @@
 async def test_a_worker_cut_from_the_leader_in_one_direction_goes_on_reporting(monkeypatch: pytest.MonkeyPatch) -> None:
     async with cluster(monkeypatch) as whole:
         await whole.submit(shape="daemon", rungs=1, owner="blue")
-        worker = await whole.busy("req-000001")
+        worker = await whole.worker_running("req-000001")
         leader = whole.leader()
-        whole.net.refused.update({Link(worker.address, address(leader))})
+        whole.net.refused.update({Link(worker.address, controller_host(leader))})
         await trio.sleep(2 * REPORT_S)
-        tick = worker.tick
-        whole.net.silent.update({Link(address(leader), worker.address)})
+        tick = worker.sequence
+        whole.net.silent.update({Link(controller_host(leader), worker.address)})
         whole.net.refused.clear()
         await trio.sleep(2 * REPORT_S)
-        assert worker.tick > tick, "it goes on reporting, through other controllers"
-        assert worker.on(), "and its task goes on"
+        assert worker.sequence > tick, "it goes on reporting, through other controllers"
+        assert worker.active_tasks(), "and its task goes on"
--- a/ladderfield/test_machine_failures.py
+++ b/ladderfield/test_machine_failures.py
@@ -15,11 +15,11 @@
 async def test_a_machine_that_does_not_stop_a_cancelled_task_is_deleted(monkeypatch: pytest.MonkeyPatch) -> None:
     async with cluster(monkeypatch) as whole:
         uid = await whole.submit(shape="daemon", rungs=1)
-        worker = await whole.busy(uid)
-        worker.obey = lambda epoch, orders: True  # type: ignore[method-assign]  # ignores orders
+        worker = await whole.worker_running(uid)
+        worker.apply_orders = lambda epoch, orders: True  # type: ignore[method-assign]  # ignores orders
         await whole.call(0, "POST", f"/api/jobs/{uid}/cancel")
         await trio.sleep(29)
-        assert not whole.on()
+        assert not whole.active_tasks()
 
 
 async def test_a_silent_machine_keeps_its_claims_until_it_is_known_to_be_lost(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -29,7 +29,7 @@
     """
     async with cluster(monkeypatch) as whole:
         uid = await whole.submit(shape="daemon", rungs=1)
-        worker = await whole.busy(uid)
+        worker = await whole.worker_running(uid)
         whole.cloud.down = True
         whole.net.cut.add(worker.address)
         await trio.sleep(6)
@@ -38,28 +38,28 @@
         assert len(whole.starts(uid)) == 1
         whole.cloud.down = False
         await trio.sleep(40)
-        print({w.about["host"]: (w.tenure, w.tick, w.epoch, w.dead) for w in whole.cloud.workers.values()})
+        print({w.report_fields["host"]: (w.session, w.sequence, w.epoch, w.dead) for w in whole.cloud.workers.values()})
         assert len(whole.starts(uid)) == 2
 
 
 async def test_a_late_copy_of_a_launch_order_starts_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     async with cluster(monkeypatch) as whole:
         earlier = await whole.submit(uid="req-000001", rungs=1, loaners=False)
-        worker = await whole.busy(earlier)
-        worker.hold = True
+        worker = await whole.worker_running(earlier)
+        worker.withhold_orders = True
         uid = await whole.submit(uid="req-000002", rungs=1, loaners=False)
-        await whole.until(0, uid, "done", 40)
-        assert worker.held, "the launch was sent by /orders"
+        await whole.wait_for_phase(0, uid, "done", 40)
+        assert worker.withheld_orders, "the launch was sent by /orders"
         await trio.sleep(2)
-        for body in worker.held:
-            worker.late(body)
+        for body in worker.withheld_orders:
+            worker.handle_orders(body)
         assert len(whole.starts(uid)) == 1
 
 
 async def test_reports_of_a_worker_cut_from_the_leader_are_relayed(monkeypatch: pytest.MonkeyPatch) -> None:
     async with cluster(monkeypatch) as whole:
         uid = await whole.submit(shape="daemon", rungs=1)
-        worker = await whole.busy(uid)
+        worker = await whole.worker_running(uid)
         leader = whole.leader()
 
         real_call = Client.call
@@ -74,29 +74,29 @@
 
         monkeypatch.setattr(Client, "call", call)
         await trio.sleep(40)
-        assert worker.tenure == 1
+        assert worker.session == 1
         assert len(whole.starts(uid)) == 1
 
 
 async def test_a_machine_that_fails_every_task_is_replaced(monkeypatch: pytest.MonkeyPatch) -> None:
     async with cluster(monkeypatch) as whole:
         first = await whole.submit(uid="req-000001", rungs=1)
-        faulty = await whole.busy(first)
-        faulty.fail = {f"req-{n:06d}" for n in range(10)}
+        faulty = await whole.worker_running(first)
+        faulty.failing_jobs = {f"req-{n:06d}" for n in range(10)}
         for number in range(2, 6):
             await whole.submit(uid=f"req-{number:06d}", rungs=2)
         for number in range(1, 6):
-            await whole.until(0, f"req-{number:06d}", "done", 120)
+            await whole.wait_for_phase(0, f"req-{number:06d}", "done", 120)
         assert faulty.dead
 
 
 async def test_a_job_that_fails_on_every_machine_makes_none_faulty(monkeypatch: pytest.MonkeyPatch) -> None:
     async with cluster(monkeypatch) as whole:
         healthy_service = await whole.submit(uid="req-000001", shape="daemon", rungs=3, cores=4.0)
-        await whole.busy(healthy_service)
+        await whole.worker_running(healthy_service)
         failing = await whole.submit(uid="req-000002", rungs=1)
         for worker in whole.cloud.workers.values():
-            worker.fail = {failing}
+            worker.failing_jobs = {failing}
         whole.cloud.boot = lambda host, rental: _failing(whole, host, rental, failing)
         await trio.sleep(120)
         assert 2 <= len(whole.starts(failing)) < 25, "retried, with increasing backoff"
@@ -106,7 +106,7 @@
 
 def _failing(whole: Cluster, host: str, rental: dict[str, Any], uid: str) -> Worker:
     worker = whole._boot(host, rental)
-    worker.fail = {uid}
+    worker.failing_jobs = {uid}
     return worker
 
 
@@ -115,32 +115,32 @@
 ) -> None:
     async with cluster(monkeypatch) as whole:
         uid = await whole.submit(shape="daemon", rungs=1, cores=4.0)
-        worker = await whole.busy(uid)
+        worker = await whole.worker_running(uid)
         other = await whole.submit(uid="req-000002", rungs=20)
-        other_worker = await whole.busy(other)
-        worker.deaf = other_worker.deaf = True
-        await whole.until(0, other, "done", 90)
+        other_worker = await whole.worker_running(other)
+        worker.drop_incoming = other_worker.drop_incoming = True
+        await whole.wait_for_phase(0, other, "done", 90)
         await trio.sleep(20)
-        assert whole.on()[f"{uid}/0"] == 1 and worker.dead and other_worker.dead, "both are replaced"
+        assert whole.active_tasks()[f"{uid}/0"] == 1 and worker.dead and other_worker.dead, "both are replaced"
 
 
 async def test_a_cancellation_is_timely_on_a_machine_that_receives_no_answers(monkeypatch: pytest.MonkeyPatch) -> None:
     async with cluster(monkeypatch) as whole:
         uid = await whole.submit(shape="daemon", rungs=1)
-        worker = await whole.busy(uid)
-        worker.deaf = True
+        worker = await whole.worker_running(uid)
+        worker.drop_incoming = True
         await whole.call(0, "POST", f"/api/jobs/{uid}/cancel")
         await trio.sleep(29)
-        assert not whole.on()
+        assert not whole.active_tasks()
 
 
 async def test_a_machine_that_receives_answers_again_keeps_its_tasks(monkeypatch: pytest.MonkeyPatch) -> None:
     async with cluster(monkeypatch) as whole:
         uid = await whole.submit(shape="daemon", rungs=1, cores=4.0)
-        worker = await whole.busy(uid)
-        worker.deaf = True
+        worker = await whole.worker_running(uid)
+        worker.drop_incoming = True
         await trio.sleep(5)
-        worker.deaf = False
+        worker.drop_incoming = False
         await trio.sleep(30)
         assert not worker.dead and len(whole.starts(uid)) == 1, "no replica stops because of a short loss of answers"
 
@@ -152,11 +152,11 @@
     """Every controller receives copies of all reports of two machines for a while; one machine is dead, one healthy."""
     async with cluster(monkeypatch) as whole:
         uid = await whole.submit(shape="daemon", rungs=2, cores=4.0)
-        dead = await whole.busy(uid)
+        dead = await whole.worker_running(uid)
         await trio.sleep(10)
-        copies = [body for worker in whole.cloud.workers.values() for body in worker.sent]
+        copies = [body for worker in whole.cloud.workers.values() for body in worker.sent_reports]
         dead.dead = True
-        dead.rungs.clear()
+        dead.tasks.clear()
         if takeover:
             whole.crash(whole.leader())
 
@@ -174,43 +174,45 @@
         epochs = {controller.leadership.known_epoch() for controller in whole.controllers.values()}
         assert epochs == {2 if takeover else 1}, "no leader was deposed"
         await trio.sleep(10)
-        assert sum(whole.on().values()) == 2 and len(whole.starts(uid)) == 3, "only the lost replica restarted"
+        assert sum(whole.active_tasks().values()) == 2 and len(whole.starts(uid)) == 3, (
+            "only the lost replica restarted"
+        )
 
 
 async def test_a_report_with_an_epoch_never_issued_affects_only_its_machine(monkeypatch: pytest.MonkeyPatch) -> None:
     async with cluster(monkeypatch) as whole:
         uid = await whole.submit(shape="daemon", rungs=3, cores=4.0)
-        worker = await whole.busy(uid)
+        worker = await whole.worker_running(uid)
         worker.epoch = 4000
         await trio.sleep(25)
         assert {controller.leadership.known_epoch() for controller in whole.controllers.values()} == {1}, (
             "no leader was deposed"
         )
-        assert worker.dead and sum(whole.on().values()) == 3
+        assert worker.dead and sum(whole.active_tasks().values()) == 3
 
 
 async def test_a_malformed_worker_address_affects_only_its_machine(monkeypatch: pytest.MonkeyPatch) -> None:
     async with cluster(monkeypatch) as whole:
         uid = await whole.submit(shape="daemon", rungs=3, cores=4.0)
-        worker = await whole.busy(uid)
-        worker.about["endpoint"] = "nowhere"
+        worker = await whole.worker_running(uid)
+        worker.report_fields["endpoint"] = "nowhere"
         first = whole.leader()
         other = await whole.submit(uid="req-000002", rungs=8)
-        await whole.until(0, other, "done", 60)
+        await whole.wait_for_phase(0, other, "done", 60)
         assert whole.leader() == first and whole.controllers[first].leadership.known_epoch() == 1
 
 
 async def test_machines_cut_off_during_an_election_keep_their_tasks(monkeypatch: pytest.MonkeyPatch) -> None:
     async with cluster(monkeypatch) as whole:
         uid = await whole.submit(shape="daemon", rungs=10, cores=4.0, owner="blue")
-        await whole.busy(uid)
+        await whole.worker_running(uid)
         await trio.sleep(20)
-        assert sum(whole.on().values()) == 10
-        cut_off = [worker for worker in whole.cloud.workers.values() if worker.on()][::2]
+        assert sum(whole.active_tasks().values()) == 10
+        cut_off = [worker for worker in whole.cloud.workers.values() if worker.active_tasks()][::2]
         whole.net.cut.update(worker.address for worker in cut_off)
         whole.crash(whole.leader())
         await trio.sleep(7)
         whole.net.cut.difference_update(worker.address for worker in cut_off)
         await trio.sleep(30)
-        assert len(whole.starts(uid)) == 10 and sum(whole.on().values()) == 10
-        assert all(worker.tenure == 1 and not worker.dead for worker in cut_off), "within their lease"
+        assert len(whole.starts(uid)) == 10 and sum(whole.active_tasks().values()) == 10
+        assert all(worker.session == 1 and not worker.dead for worker in cut_off), "within their lease"
--- a/ladderfield/test_versions.py
+++ b/ladderfield/test_versions.py
@@ -21,7 +21,7 @@
 from ladderfield.state import StateClient
 from ladderfield.testing import job, settings
 from ladderfield.testing.jobs_api import serving_jobs_api
-from ladderfield.testing.leader import EPOCH_NOW, SchedulerHarness, rung
+from ladderfield.testing.leader import EPOCH_NOW, SchedulerHarness, reported_task
 from ladderfield.view import View
 
 # Byte for byte as the version in production writes them.
@@ -62,7 +62,8 @@
     assert harness.scheduler.teams.cpus == {"red": 4.0, "blue": 4.0}
     # The old leader has recorded the end of task 4 but not yet sent its reap order.
     orders = harness.report(
-        "i-000001", (rung(4, 25769803775, "exited", "done", "req-000412"), rung(2, 25769803778, uid="req-000412")),
+        "i-000001", (reported_task(4, 25769803775, "exited", "done", "req-000412"),
+                     reported_task(2, 25769803778, uid="req-000412")),
         endpoint="10.1.0.2:9000",
     )  # fmt: skip
     assert [(order["verb"], order["rung"]) for order in orders] == [("reap", "req-000412/4")]
@@ -196,13 +197,13 @@
     for step in range(3):
         while (txn := harness.ledger.collect(True)) is not None:
             written |= txn.puts
-            harness.stamp += 1
-            harness.ledger.applied(txn, harness.stamp, 2.0)
+            harness.revision += 1
+            harness.ledger.applied(txn, harness.revision, 2.0)
         for claim in [claim for scheduled in harness.scheduler.jobs.values() for claim in scheduled.claims.values()]:
             if not claim.job.spec.service and claim.index % 3 != step:
                 harness.scheduler.end(claim, True, 3.0)
         if step == 1:
-            harness.tell("req-000003", "cancelled")
+            harness.record_final_state("req-000003", "cancelled")
     for key, value in written.items():
         assert_old_version_reads(key, value)
     pages = sorted(int(key.removeprefix("lf/p/")) for key in written if key.startswith("lf/p/"))
--- a/ladderfield/test_wire_format.py
+++ b/ladderfield/test_wire_format.py
@@ -44,7 +44,7 @@
 from ladderfield.term import Term
 from ladderfield.testing import REPORT, TYPES, StateService, job, settings
 from ladderfield.testing.jobs_api import serving_jobs_api
-from ladderfield.testing.leader import SchedulerHarness, claimed_leader, launched, rung
+from ladderfield.testing.leader import SchedulerHarness, launch_job, leader_with_claim, reported_task
 from ladderfield.view import View
 from ladderfield.workers.report_handler import ReportHandler
 
@@ -173,8 +173,8 @@
 
 def test_leader_records_match_the_samples() -> None:
     harness = SchedulerHarness()
-    attempt = launched(harness, 2)
-    harness.report(rungs=(rung(0, attempt, "exited", "done"), rung(1, attempt + 1)), now=3.0)
+    attempt = launch_job(harness, 2)
+    harness.report(tasks=(reported_task(0, attempt, "exited", "done"), reported_task(1, attempt + 1)), now=3.0)
     samples: Samples = {}
     step = 0
     for now in (3.0, 6.0):
@@ -183,17 +183,17 @@
             samples[f"{step}.puts"] = encode(txn.puts)
             samples[f"{step}.deletes"] = encode(txn.deletes)
             step += 1
-            harness.stamp += 1
-            harness.ledger.applied(txn, harness.stamp, now)
-        ended = tuple(rung(index, attempt + index, "exited", "done") for index in range(2))
-        samples[f"{step}.orders"] = encode(harness.report(rungs=ended, now=now + 1))
+            harness.revision += 1
+            harness.ledger.applied(txn, harness.revision, now)
+        ended = tuple(reported_task(index, attempt + index, "exited", "done") for index in range(2))
+        samples[f"{step}.orders"] = encode(harness.report(tasks=ended, now=now + 1))
     harness.submit("req-000002", shape="daemon", rungs=1, owner="blue")
     harness.report(now=9.0)
-    harness.record(9.0)
+    harness.write_records(9.0)
     samples["launch"] = encode(harness.report(now=10.0))
-    harness.tell("req-000002", "cancelled")
+    harness.record_final_state("req-000002", "cancelled")
     (claim,) = harness.machine().claims.values()
-    samples["stop"] = encode(harness.report(rungs=(rung(0, claim.attempt, uid="req-000002"),), now=11.0))
+    samples["stop"] = encode(harness.report(tasks=(reported_task(0, claim.attempt, uid="req-000002"),), now=11.0))
     assert_recorded("leader", samples)
 
 
@@ -214,7 +214,7 @@
     await report("redirected", REPORT | {"tick": 2})
     await report("malformed", {"host": 1})
     await report("method", REPORT, "GET")
-    leader = claimed_leader()
+    leader = leader_with_claim()
     sent: list[bytes] = []
 
     async def call(self: Client, method: str, target: str, body: Any, timeout: float) -> tuple[int, bytes]:
@@ -229,7 +229,7 @@
         nursery.cancel_scope.cancel()
     reports.inbox, _ = trio.open_memory_channel[Any](0)
     await report("inbox_full", REPORT)
-    other = claimed_leader()
+    other = leader_with_claim()
     async with trio.open_nursery() as nursery:
         other.dispatcher.nursery = nursery
         other.dispatcher.dispatch(0.1)
--- a/ladderfield/workers/test_old_messages.py
+++ b/ladderfield/workers/test_old_messages.py
@@ -11,7 +11,7 @@
 from ladderfield.testing import StateService, Worker, accepted, job
 from ladderfield.testing.cluster import Cluster, cluster
 from ladderfield.testing.consistency import ConsistencyChecker
-from ladderfield.testing.leader import ABOUT, EPOCH_NOW, SchedulerHarness, rung
+from ladderfield.testing.leader import EPOCH_NOW, MACHINE_RECORD, SchedulerHarness, reported_task
 
 REPORT_S = 2.0
 WRITERS = {
@@ -30,7 +30,7 @@
         if observation is not None and observation.status in status:
             return
         await trio.sleep(1)
-    raise AssertionError(f"{verb} {uid}: {checker.seen.get(uid)}")
+    raise AssertionError(f"{verb} {uid}: {checker.observations.get(uid)}")
 
 
 class Unanswered:
@@ -40,9 +40,9 @@
         self.state, self.writer = state, writer
         self.total = self.remaining = 1 if writer == "elections" else 3
         if late:
-            state.keeps = self._is_lost
+            state.withholds = self._is_lost
         else:
-            state.answer_s = lambda keys: math.inf if self._is_lost(keys) else 0.0
+            state.answer_delay_s = lambda keys: math.inf if self._is_lost(keys) else 0.0
 
     def _is_lost(self, keys: list[str]) -> bool:
         found = self.remaining > 0 and any(key.startswith(WRITERS[self.writer]) for key in keys)
@@ -52,7 +52,9 @@
     def carry_out(self) -> None:
         """Apply the delayed transactions; they must have no effect."""
         before = dict(self.state.keys)
-        assert not set(self.state.carry_out()) - {409}, "a transaction applied after newer ones must have no effect"
+        assert not set(self.state.apply_withheld()) - {409}, (
+            "a transaction applied after newer ones must have no effect"
+        )
         assert self.state.keys == before
 
 
@@ -87,11 +89,11 @@
         }
         for uid in whole.jobs:
             await _request_until(checker, "POST", uid, (200, 201))
-        await whole.busy(cancelled)
+        await whole.worker_running(cancelled)
         await checker.ask_concurrently(cancelled, 0.1)
         await _request_until(checker, "cancel", cancelled, (200,))
         await checker.ask_concurrently(cancelled, 0.1)
-        await whole.until(0, finite, "done", 60)
+        await whole.wait_for_phase(0, finite, "done", 60)
         await checker.ask_concurrently(finite, 0.1)
         await trio.sleep(2 * REPORT_S)
         unanswered.carry_out()
@@ -103,14 +105,14 @@
             await checker.ask_concurrently(uid, 0.05, ("GET", "POST"))
             assert [await whole.phase(node, uid) for node in range(3)] == [phase] * 3
         checker.check()
-        assert len(whole.starts(steady)) == 2 and len(whole.starts(finite)) == 4 and not checker.on(cancelled)
+        assert len(whole.starts(steady)) == 2 and len(whole.starts(finite)) == 4 and not checker.active_tasks(cancelled)
 
 
 async def _outdated(whole: Cluster, uid: str, origin: str) -> tuple[Worker, list[dict[str, Any]]]:
     """A machine and some of its reports that are out of date."""
-    worker = await whole.busy(uid)
+    worker = await whole.worker_running(uid)
     if origin == "an earlier attempt":
-        worker.fail, worker.ends[f"{uid}/0"] = {uid}, 0.0
+        worker.failing_jobs, worker.phase_ends[f"{uid}/0"] = {uid}, 0.0
         await trio.sleep(2 * REPORT_S)
     elif origin == "an earlier session":
         await trio.sleep(REPORT_S)
@@ -120,11 +122,11 @@
         whole.net.cut.discard(worker.address)
         whole.cloud.down = False
         await trio.sleep(2 * REPORT_S)
-        assert worker.tenure == 2
+        assert worker.session == 2
     elif origin == "before the launch":
-        return worker, [body for body in worker.sent if uid not in str(body["rungs"])]
+        return worker, [body for body in worker.sent_reports if uid not in str(body["rungs"])]
     assert len(whole.starts(uid)) == 2
-    return worker, [body for body in worker.sent if body["tenure"] == 1 and uid in str(body["rungs"])]
+    return worker, [body for body in worker.sent_reports if body["tenure"] == 1 and uid in str(body["rungs"])]
 
 
 @pytest.mark.parametrize("origin", ["an earlier attempt", "an earlier session", "before the launch"])
@@ -138,12 +140,12 @@
     """
     async with cluster(monkeypatch) as whole:
         warm = await whole.submit(uid="req-000001", shape="daemon", rungs=2, cores=3.0)  # two machines, room on both
-        await whole.busy(warm)
+        await whole.worker_running(warm)
         uid = await whole.submit(uid="req-000002", shape="daemon", rungs=1, cores=1.0)
         worker, copies = await _outdated(whole, uid, origin)
         assert copies
         await trio.sleep(6 * REPORT_S)
-        assert sum(whole.on().values()) == 3
+        assert sum(whole.active_tasks().values()) == 3
         starts = len(whole.starts(uid)), len(whole.starts(warm))
         whole.crash(whole.leader())
         if acted:
@@ -166,19 +168,19 @@
         await trio.sleep(30)
         assert whole.leader() in whole.controllers
         assert (len(whole.starts(uid)), len(whole.starts(warm))) == starts
-        assert sum(whole.on().values()) == 3
+        assert sum(whole.active_tasks().values()) == 3
 
 
 @pytest.mark.parametrize("cause", ["done", "error", "stopped"])
 def test_old_report_of_an_earlier_attempt_does_not_end_a_later_one(cause: str) -> None:
     """The old report is the first that a new leader receives; the recorded claim is of a later attempt."""
     earlier, later = 5 << 32, (6 << 32) + 3
-    page = {"req-000001": {"a": {"0": [later, "m"]}}, "hosts": {"m": ABOUT}}
+    page = {"req-000001": {"a": {"0": [later, "m"]}}, "hosts": {"m": MACHINE_RECORD}}
     harness = SchedulerHarness({"lf/j/req-000001": (accepted(job(rungs=1)), 4), "lf/p/0": (page, 5)})
-    orders = harness.report(rungs=(rung(0, earlier, "exited", cause),), epoch=EPOCH_NOW - 1)
+    orders = harness.report(tasks=(reported_task(0, earlier, "exited", cause),), epoch=EPOCH_NOW - 1)
     assert [claim.attempt for claim in harness.machine().claims.values()] == [later]
     assert not harness.scheduler.complete_jobs and all(order["verb"] != "launch" for order in orders)
-    harness.report(rungs=(rung(0, later),))
+    harness.report(tasks=(reported_task(0, later),))
     assert [claim.phase for claim in harness.machine().claims.values()] == ["running"]
 
 
@@ -191,13 +193,13 @@
     async with cluster(monkeypatch) as whole:
         checker = ConsistencyChecker(whole)
         warm = await whole.submit(uid="req-000001", shape="daemon", rungs=1, loaners=False)
-        worker = await whole.busy(warm)
+        worker = await whole.worker_running(warm)
         uid = "req-000002"
         whole.jobs[uid] = job(uid, shape="daemon", rungs=1, loaners=False)
-        worker.hold, worker.loses_answers = when != "executed, answer held", True
+        worker.withhold_orders, worker.drop_answers = when != "executed, answer held", True
         await checker.ask(0, "POST", uid)
         await trio.sleep(0.3)
-        assert (uid in str(worker.held)) == worker.hold or whole.starts(uid)
+        assert (uid in str(worker.withheld_orders)) == worker.withhold_orders or whole.starts(uid)
         whole.net.cut.add(worker.address)  # the machine hangs
         whole.crash(whole.leader())
         survivor = next(iter(whole.controllers))
@@ -205,18 +207,20 @@
             await trio.sleep(1)
             assert (await whole.call(survivor, "POST", f"/api/jobs/{uid}/cancel"))[1]["phase"] == "cancelled"
         await trio.sleep(3 * REPORT_S)
-        held = list(worker.held)
+        held = list(worker.withheld_orders)
         if when == "before the new epoch":
-            assert all(worker.late(body) for body in held)
-        worker.hold = worker.loses_answers = False
+            assert all(worker.handle_orders(body) for body in held)
+        worker.withhold_orders = worker.drop_answers = False
         whole.net.cut.discard(worker.address)
         await trio.sleep(2 * REPORT_S)
         if when == "after it":
-            assert not any(worker.late(body) for body in held)
+            assert not any(worker.handle_orders(body) for body in held)
         await trio.sleep(30)
         if cancelled:
-            assert not checker.on(uid), "ran_cancelled: a cancelled job must not run"
+            assert not checker.active_tasks(uid), "ran_cancelled: a cancelled job must not run"
             assert await whole.phase(survivor, uid) == "cancelled"
         else:
-            assert len(checker.on(uid)) == 1 and len(whole.starts(uid)) == 1
-        assert whole.on()[f"{warm}/0"] == 1 and len(whole.starts(warm)) == 1, "the machine must not be declared lost"
+            assert len(checker.active_tasks(uid)) == 1 and len(whole.starts(uid)) == 1
+        assert whole.active_tasks()[f"{warm}/0"] == 1 and len(whole.starts(warm)) == 1, (
+            "the machine must not be declared lost"
+        )
--- a/ladderfield/zones/test_cluster_returns.py
+++ b/ladderfield/zones/test_cluster_returns.py
@@ -23,12 +23,14 @@
 
 def workers(system: Cluster, zone: str) -> list[Worker]:
     """The running workers of a zone."""
-    return [worker for worker in system.cloud.workers.values() if worker.about["yard"] == zone and not worker.dead]
+    return [
+        worker for worker in system.cloud.workers.values() if worker.report_fields["yard"] == zone and not worker.dead
+    ]
 
 
 def replicas(system: Cluster) -> int:
     """The number of running replicas of the service."""
-    return sum(name.startswith(SERVICE) for name in system.on())
+    return sum(name.startswith(SERVICE) for name in system.active_tasks())
 
 
 def cut_zone(system: Cluster) -> None:
@@ -110,13 +112,13 @@
 def stop_receiving(system: Cluster) -> None:
     """One machine of the zone reports but receives no answers."""
     for worker in workers(system, ZONE)[:1]:
-        worker.deaf = True
+        worker.drop_incoming = True
 
 
 def stop_reporting(system: Cluster) -> None:
     """One machine of the zone can't open connections but receives commands."""
     for worker in workers(system, ZONE)[:1]:
-        worker.mute = True
+        worker.reporting_disabled = True
 
 
 def crash_leader(system: Cluster) -> None:
--- a/ladderfield/zones/test_record.py
+++ b/ladderfield/zones/test_record.py
@@ -82,20 +82,20 @@
 async def test_the_record_is_written_on_transitions_only_guarded_and_read_by_the_next_leader() -> None:
     options = check(ZoneFlags("production,standard,best_effort"), ["za", "zb", "zc"], 0.0)
     fleet = ScriptedFleet(12, options)
-    fleet.pass_time(6.0)
+    fleet.advance(6.0)
     assert ZONES_KEY not in fleet.records
     fleet.cut("zc")
-    fleet.pass_time(20.0)
+    fleet.advance(20.0)
     value, revision = fleet.records[ZONES_KEY]
     assert value["zones"]["zc"]["state"] == "lost"
-    fleet.pass_time(3.0)
+    fleet.advance(3.0)
     assert fleet.records[ZONES_KEY][1] == revision
     record = fleet.leader.scheduler.zones.record
     assert record is not None and record.revision == revision, "the next write is guarded by this one"
     fleet.elect()
     assert state_of_zc(fleet) is ZoneState.LOST
     fleet.cut()
-    fleet.pass_time(2.0)
+    fleet.advance(2.0)
     assert state_of_zc(fleet) is ZoneState.PROBATION
     txn = fleet.leader.ledger.collect(True)
     assert txn is None, "nothing remains to be written"
--- a/ladderfield/zones/test_returns.py
+++ b/ladderfield/zones/test_returns.py
@@ -25,7 +25,7 @@
     """Start a fleet whose machines report."""
     options = check(ZoneFlags(order, probation_s=flags.get("probation_s")), ["za", "zb", "zc"], 0.0)
     fleet = ScriptedFleet(machines, options, fetch_s)
-    fleet.pass_time(3.0)
+    fleet.advance(3.0)
     return fleet
 
 
@@ -85,11 +85,11 @@
     fleet = start_fleet()
     submit_service(fleet, 8)
     submit_batch(fleet, 12)
-    fleet.pass_time(4.0)
+    fleet.advance(4.0)
     replicas_in_zone = running_count(fleet, SERVICE, "zc")
     assert replicas_in_zone and running_count(fleet, BATCH) == 12
     fleet.cut("zc")
-    fleet.pass_time(OUTAGE_S)
+    fleet.advance(OUTAGE_S)
     assert zone_state(fleet) is ZoneState.LOST
     assert running_count(fleet, SERVICE, "za") + running_count(fleet, SERVICE, "zb") == 8
 
@@ -97,12 +97,12 @@
 async def test_without_flags_batch_returns_at_once_and_there_is_no_record() -> None:
     fleet = start_fleet(order=None)
     submit_batch(fleet, 24)
-    fleet.pass_time(4.0)
+    fleet.advance(4.0)
     fleet.cut("zc")
-    fleet.pass_time(OUTAGE_S)
+    fleet.advance(OUTAGE_S)
     since = fleet.now
     fleet.cut()
-    fleet.pass_time(4.0)
+    fleet.advance(4.0)
     assert first_start_at(fleet, BATCH, "zc", since) is not None
     assert fleet.leader.scheduler.zones.record is None
 
@@ -114,14 +114,14 @@
     submit_service(fleet, 4, yard="zc")  # may run in no other zone
     submit_batch(fleet, 20)
     submit_batch(fleet, 20, BEST_EFFORT, rank="best_effort")
-    fleet.pass_time(8.0)
+    fleet.advance(8.0)
     assert running_count(fleet, SERVICE, "zc") == 4
     fleet.cut("zc")
-    fleet.pass_time(OUTAGE_S)
+    fleet.advance(OUTAGE_S)
     assert running_count(fleet, SERVICE) == 0
     since = fleet.now
     fleet.cut()
-    fleet.pass_time(30.0)
+    fleet.advance(30.0)
     assert running_count(fleet, SERVICE, "zc") == 4
     service_at, batch_at = first_start_at(fleet, SERVICE, "zc", since), first_start_at(fleet, BATCH, "zc", since)
     assert service_at is not None and batch_at is not None and service_at < batch_at
@@ -140,12 +140,12 @@
     check_services_first(fleet)
     submit_service(fleet, 4, yard="zc")
     submit_batch(fleet, 40)
-    fleet.pass_time(6.0)
+    fleet.advance(6.0)
     fleet.cut("zc")
-    fleet.pass_time(outage_s)
+    fleet.advance(outage_s)
     fleet.cut()
     since = fleet.now
-    fleet.pass_time(25.0)
+    fleet.advance(25.0)
     assert running_count(fleet, SERVICE, "zc") == 4
     service_at, batch_at = first_start_at(fleet, SERVICE, "zc", since), first_start_at(fleet, BATCH, "zc", since)
     assert (service_at is None) == (batch_at is None), "either all tasks were kept or all started again"
@@ -156,14 +156,14 @@
     """The leases expired on the machines' clocks before they did on the leader's clock."""
     fleet = start_fleet()
     submit_batch(fleet, 24)
-    fleet.pass_time(4.0)
+    fleet.advance(4.0)
     fleet.cut("zc")
-    fleet.pass_time(8.0)
+    fleet.advance(8.0)
     assert zone_state(fleet) is ZoneState.SUSPECTED
     for worker in fleet.workers:
         worker.answered_at -= LEASE_S if worker.cut else 0.0
     fleet.cut()
-    fleet.pass_time(2.0)
+    fleet.advance(2.0)
     assert zone_state(fleet) is ZoneState.PROBATION and running_count(fleet, BATCH, "zc") == 0
 
 
@@ -174,13 +174,13 @@
     """
     fleet = start_fleet()
     submit_service(fleet, 1, yard="zc")
-    fleet.pass_time(3.0)
+    fleet.advance(3.0)
     fleet.cut("zc")
-    fleet.pass_time(6.0)
+    fleet.advance(6.0)
     assert zone_state(fleet) is ZoneState.SUSPECTED
-    idle = [worker.host for worker in fleet.workers if worker.cut and not worker.rungs]
+    idle = [worker.host for worker in fleet.workers if worker.cut and not worker.tasks]
     fleet._replace(idle)
-    fleet.pass_time(1.0)
+    fleet.advance(1.0)
     assert zone_state(fleet) is not ZoneState.LOST and len(idle) == 3
 
 
@@ -189,14 +189,14 @@
     fleet = start_fleet()
     submit_service(fleet, 3, yard="zc")
     submit_batch(fleet, 30)
-    fleet.pass_time(4.0)
+    fleet.advance(4.0)
     fleet.cut("zc")
-    fleet.pass_time(OUTAGE_S)
+    fleet.advance(OUTAGE_S)
     fleet.cut()
     scheduler = fleet.leader.scheduler
     fleet.now += 1.0
     for worker in fleet.workers:
-        worker.progress(fleet.now, fleet.run_s, fleet._endless)
+        worker.progress(fleet.now, fleet.run_s, fleet._is_service)
     for _ in range(2):  # the first report gets the epoch of the session
         fleet.report_all()
         scheduler.schedule(fleet.now)
@@ -210,12 +210,12 @@
     fleet = start_fleet()
     submit_service(fleet, 2, yard="za")
     submit_batch(fleet, 24)
-    fleet.pass_time(4.0)
+    fleet.advance(4.0)
     fleet.cut("zc")
-    fleet.pass_time(OUTAGE_S)
+    fleet.advance(OUTAGE_S)
     since = fleet.now
     fleet.cut()
-    fleet.pass_time(4.0)
+    fleet.advance(4.0)
     batch_at = first_start_at(fleet, BATCH, "zc", since)
     assert zone_state(fleet) is ZoneState.PROBATION and batch_at is not None
 
@@ -223,12 +223,12 @@
 async def test_services_that_run_elsewhere_are_not_moved_back() -> None:
     fleet = start_fleet()
     submit_service(fleet, 6)
-    fleet.pass_time(4.0)
+    fleet.advance(4.0)
     fleet.cut("zc")
-    fleet.pass_time(OUTAGE_S)
+    fleet.advance(OUTAGE_S)
     before = {name: worker.host for worker in fleet.workers for name in worker.running}
     fleet.cut()
-    fleet.pass_time(40.0)
+    fleet.advance(40.0)
     assert {name: worker.host for worker in fleet.workers for name in worker.running} == before
 
 
@@ -236,13 +236,13 @@
     fleet = start_fleet()
     submit_service(fleet, 6)
     submit_batch(fleet, 12)
-    fleet.pass_time(4.0)
+    fleet.advance(4.0)
     before = sorted(fleet.running("zc"))
     fleet.cut("zc")
-    fleet.pass_time(LEASE_S - 4.0)
+    fleet.advance(LEASE_S - 4.0)
     assert zone_state(fleet) is ZoneState.SUSPECTED
     fleet.cut()
-    fleet.pass_time(6.0)
+    fleet.advance(6.0)
     assert zone_state(fleet) is ZoneState.HEALTHY and sorted(fleet.running("zc")) == before
 
 
@@ -251,14 +251,14 @@
     check_services_first(fleet)
     submit_service(fleet, 4)
     submit_batch(fleet, 16)
-    fleet.pass_time(5.0)
+    fleet.advance(5.0)
     for _ in range(12):
         fleet.cut("zc")
-        fleet.pass_time(7.0)
+        fleet.advance(7.0)
         fleet.cut()
-        fleet.pass_time(5.0)
+        fleet.advance(5.0)
     assert running_count(fleet, SERVICE) == 4
-    fleet.pass_time(MAX_HOLD_S + 5.0)
+    fleet.advance(MAX_HOLD_S + 5.0)
     assert zone_state(fleet) is ZoneState.HEALTHY and running_count(fleet, BATCH) == 16
 
 
@@ -267,14 +267,14 @@
     check_services_first(fleet)
     submit_service(fleet, 1)
     submit_batch(fleet, 23)
-    fleet.pass_time(4.0)
+    fleet.advance(4.0)
     waits = []
     for _ in range(4):
         fleet.cut("zc")
-        fleet.pass_time(OUTAGE_S)
+        fleet.advance(OUTAGE_S)
         since = fleet.now
         fleet.cut()
-        fleet.pass_time(MAX_HOLD_S + 4.0)
+        fleet.advance(MAX_HOLD_S + 4.0)
         batch_at = first_start_at(fleet, BATCH, "zc", since)
         assert batch_at is not None
         waits.append(batch_at - since)
@@ -288,13 +288,13 @@
     submit_service(fleet, 3, yard="zc")
     submit_batch(fleet, 16)
     submit_batch(fleet, 16, BEST_EFFORT, rank="best_effort")
-    fleet.pass_time(6.0)
+    fleet.advance(6.0)
     for outage_s in (OUTAGE_S, OUTAGE_S):
         fleet.cut("zc")
-        fleet.pass_time(outage_s)
+        fleet.advance(outage_s)
         fleet.cut()
-        fleet.pass_time(return_s)
-    fleet.pass_time(MAX_HOLD_S + 10.0)
+        fleet.advance(return_s)
+    fleet.advance(MAX_HOLD_S + 10.0)
     assert running_count(fleet, SERVICE, "zc") == 3 and running_count(fleet, BATCH) == 16
 
 
@@ -302,19 +302,19 @@
     fleet = start_fleet(machines=9, fetch_s=6.0)
     submit_service(fleet, 3, yard="zc")
     submit_batch(fleet, 18, cores=1.0, memoryGb=1.0)
-    fleet.pass_time(10.0)
+    fleet.advance(10.0)
     fleet.cut("zc")
-    fleet.pass_time(OUTAGE_S)
+    fleet.advance(OUTAGE_S)
     fleet.cut()
 
     def check_fetches() -> None:
         for worker in fleet.workers:
-            phases = {rung["image"]: rung["phase"] for rung in worker.rungs.values()}
+            phases = {rung["image"]: rung["phase"] for rung in worker.tasks.values()}
             if worker.zone == "zc" and phases.get("img-portal") == "fetching":
                 assert phases.get("img-batch") != "fetching"
 
     fleet.checks.append(check_fetches)
-    fleet.pass_time(30.0)
+    fleet.advance(30.0)
     assert running_count(fleet, SERVICE) == 3
 
 
@@ -323,19 +323,19 @@
     for number in range(12):
         small = {"cores": 1.0, "memoryGb": 1.0, "bundle": f"img-{number}", "yard": "zc"}
         submit_service(fleet, 1, f"req-0001{number:02}", **small)
-    fleet.pass_time(10.0)
+    fleet.advance(10.0)
     fleet.cut("zc")
-    fleet.pass_time(OUTAGE_S)
+    fleet.advance(OUTAGE_S)
     fleet.cut()
     fetch_counts = []
 
     def count_fetches() -> None:
         for worker in fleet.workers:
-            images = {rung["image"] for rung in worker.rungs.values() if rung["phase"] == "fetching"}
+            images = {rung["image"] for rung in worker.tasks.values() if rung["phase"] == "fetching"}
             fetch_counts.append(len(images))
 
     fleet.checks.append(count_fetches)
-    fleet.pass_time(30.0)
+    fleet.advance(30.0)
     assert max(fetch_counts) == 2 and len([name for name in fleet.running() if name.startswith("req-0001")]) == 12
 
 
@@ -344,12 +344,12 @@
     submit_service(fleet, 1, memoryGb=16.0, cores=4.0)
     submit_service(fleet, 9, "req-000009", memoryGb=16.0, cores=4.0, owner="red")  # over the team's limit of 16 cores
     submit_batch(fleet, 30)
-    fleet.pass_time(4.0)
+    fleet.advance(4.0)
     fleet.cut("zc")
-    fleet.pass_time(OUTAGE_S)
+    fleet.advance(OUTAGE_S)
     since = fleet.now
     fleet.cut()
-    fleet.pass_time(8.0)
+    fleet.advance(8.0)
     assert first_start_at(fleet, BATCH, "zc", since) is not None
 
 
@@ -358,18 +358,18 @@
     check_services_first(fleet)
     submit_service(fleet, 4)
     submit_batch(fleet, 30)
-    fleet.pass_time(4.0)
+    fleet.advance(4.0)
     fleet.cut("zb", "zc")
-    fleet.pass_time(OUTAGE_S)
+    fleet.advance(OUTAGE_S)
     assert zone_state(fleet, "zb") is zone_state(fleet, "zc") is ZoneState.LOST
     assert running_count(fleet, SERVICE, "za") == 4, "services first, by preemption of batch if necessary"
     fleet.cut("zc")
-    fleet.pass_time(14.0)
+    fleet.advance(14.0)
     assert zone_state(fleet, "zb") is ZoneState.HEALTHY and running_count(fleet, BATCH, "zb") > 0
     fleet.cut()
-    fleet.pass_time(3.0)
+    fleet.advance(3.0)
     submit_batch(fleet, 4, "req-000007")
-    fleet.pass_time(3.0)
+    fleet.advance(3.0)
     assert zone_state(fleet, "zc") is ZoneState.PROBATION and running_count(fleet, BATCH, "zc") == 0
 
 
@@ -379,17 +379,17 @@
     check_services_first(fleet)
     submit_service(fleet, 3, yard="zc")
     submit_batch(fleet, 21)
-    fleet.pass_time(4.0)
+    fleet.advance(4.0)
     fleet.cut("zc")
-    fleet.pass_time(OUTAGE_S if state is not ZoneState.SUSPECTED else 5.0)
+    fleet.advance(OUTAGE_S if state is not ZoneState.SUSPECTED else 5.0)
     if state in (ZoneState.PROBATION, ZoneState.HEALTHY):
         fleet.cut()
-        fleet.pass_time(3.0 if state is ZoneState.PROBATION else 9.0)
+        fleet.advance(3.0 if state is ZoneState.PROBATION else 9.0)
     assert zone_state(fleet) is state
     fleet.elect()
-    fleet.pass_time(2.0)
+    fleet.advance(2.0)
     fleet.cut()
-    fleet.pass_time(MAX_HOLD_S + 10.0)
+    fleet.advance(MAX_HOLD_S + 10.0)
     assert zone_state(fleet) is ZoneState.HEALTHY
     assert running_count(fleet, SERVICE, "zc") == 3 and running_count(fleet, BATCH) == 21
 
@@ -398,37 +398,37 @@
     fleet = start_fleet(machines=18)
     submit_service(fleet, 3)
     submit_batch(fleet, 27)
-    fleet.pass_time(4.0)
+    fleet.advance(4.0)
     fleet.cut("zc")
-    fleet.pass_time(OUTAGE_S)
+    fleet.advance(OUTAGE_S)
     for number, worker in enumerate(worker for worker in fleet.workers if worker.zone == "zc"):
         worker.cut = number % 2 == 0
-    fleet.pass_time(14.0)
+    fleet.advance(14.0)
     assert zone_state(fleet) is ZoneState.HEALTHY and running_count(fleet, BATCH) == 27
 
 
 async def test_batch_leaves_the_last_slots_to_services_that_still_have_to_move() -> None:
     fleet = start_fleet(machines=9)
     submit_service(fleet, 2, yard=None, cores=4.0, memoryGb=16.0)
-    fleet.pass_time(4.0)
+    fleet.advance(4.0)
     zones = [worker.zone for worker in fleet.workers for name in worker.running if name.startswith(SERVICE)]
     fleet.cut(zones[0])
-    fleet.pass_time(5.0)
+    fleet.advance(5.0)
     submit_batch(fleet, 12, cores=4.0)
-    fleet.pass_time(4.0)
+    fleet.advance(4.0)
     held = sum(worker.zone == zones[0] for worker in fleet.workers for name in worker.running)
-    free = [worker for worker in fleet.workers if not worker.cut and not worker.rungs]
+    free = [worker for worker in fleet.workers if not worker.cut and not worker.tasks]
     assert held and len(free) >= held, "a free machine for each replica that may be lost"
-    fleet.pass_time(OUTAGE_S)
+    fleet.advance(OUTAGE_S)
     assert running_count(fleet, SERVICE) == 2
-    fleet.pass_time(MAX_HOLD_S)
-    assert not [worker for worker in fleet.workers if not worker.cut and not worker.rungs], "every hold ends"
+    fleet.advance(MAX_HOLD_S)
+    assert not [worker for worker in fleet.workers if not worker.cut and not worker.tasks], "every hold ends"
 
 
 async def test_rental_in_a_lost_zone_is_refused_for_a_limited_time() -> None:
     fleet = start_fleet()
     fleet.cut("zc")
-    fleet.pass_time(OUTAGE_S)
+    fleet.advance(OUTAGE_S)
     scheduler = fleet.leader.scheduler
     submit_service(fleet, 1)
     spec = scheduler.jobs[SERVICE].spec
@@ -446,10 +446,10 @@
     fleet = ScriptedFleet(12, options)
     for worker in fleet.workers[:6]:
         worker.zone = "nowhere"
-    fleet.pass_time(4.0)
+    fleet.advance(4.0)
     assert "nowhere" in fleet.leader.scheduler.detector.zones
     fleet.cut("nowhere")
-    fleet.pass_time(OUTAGE_S)
+    fleet.advance(OUTAGE_S)
     zones = fleet.leader.scheduler.zones
     assert isinstance(zones, ZoneCoordinator) and "nowhere" not in zones.health_by_zone
 
@@ -464,14 +464,14 @@
     submit_service(fleet, 2, "req-000004", yard="zc")
     submit_batch(fleet, 12)
     submit_batch(fleet, 6, BEST_EFFORT, rank="best_effort")
-    fleet.pass_time(8.0)
+    fleet.advance(8.0)
     for _ in range(14):
         fleet.cut(*rng.sample(["za", "zb", "zc"], rng.choice([0, 0, 1, 1, 2])))
-        fleet.pass_time(rng.choice([2.0, 5.0, 8.0, 15.0, 24.0]))
+        fleet.advance(rng.choice([2.0, 5.0, 8.0, 15.0, 24.0]))
         if rng.random() < 0.2:
             fleet.elect()
     fleet.cut()
-    fleet.pass_time(MAX_HOLD_S + 20.0)
+    fleet.advance(MAX_HOLD_S + 20.0)
     assert running_count(fleet, SERVICE) == 4 and running_count(fleet, "req-000004", "zc") == 2
     assert running_count(fleet, BATCH) + running_count(fleet, BEST_EFFORT) == 18, (
         "no task waits while there is free capacity"
@@ -481,12 +481,12 @@
 async def test_a_service_goes_to_a_zone_on_probation_only_if_no_other_has_room() -> None:
     fleet = start_fleet()
     fleet.cut("za")  # its machines would be the first to get tasks
-    fleet.pass_time(OUTAGE_S)
+    fleet.advance(OUTAGE_S)
     fleet.cut()
-    fleet.pass_time(2.0)
+    fleet.advance(2.0)
     assert zone_state(fleet, "za") is ZoneState.PROBATION
     submit_service(fleet, 2)
-    fleet.pass_time(3.0)
+    fleet.advance(3.0)
     assert running_count(fleet, SERVICE) == 2 and running_count(fleet, SERVICE, "za") == 0
 
 
@@ -499,9 +499,9 @@
     zones = fleet.leader.scheduler.zones
     assert zones.order_tiers([guaranteed, service]) == [guaranteed, service]
     fleet.cut("zc")
-    fleet.pass_time(OUTAGE_S)
+    fleet.advance(OUTAGE_S)
     assert zones.order_tiers([guaranteed, service]) == [service, guaranteed]
-    fleet.pass_time(MAX_HOLD_S)
+    fleet.advance(MAX_HOLD_S)
     assert zone_state(fleet) is ZoneState.LOST and zones.order_tiers([guaranteed, service]) == [guaranteed, service]
 
 
@@ -510,13 +510,13 @@
     fleet = start_fleet(fetch_s=9.0)
     submit_batch(fleet, 1, memoryGb=1.0)
     submit_service(fleet, 1)
-    fleet.pass_time(3.0)
+    fleet.advance(3.0)
     jobs, machines = fleet.leader.scheduler.jobs, fleet.leader.scheduler.machines.values()
     (fetching,) = (machine for machine in machines if (SERVICE, 0) in machine.claims)
     idle = next(machine for machine in machines if not machine.claims)
     assert not may_fetch(fetching, jobs[BATCH]) and may_fetch(fetching, jobs[SERVICE])
     assert may_fetch(idle, jobs[BATCH])
-    fleet.pass_time(9.0)
+    fleet.advance(9.0)
     assert may_fetch(fetching, jobs[BATCH])
 
 
@@ -542,25 +542,25 @@
 async def test_no_task_is_preempted_for_one_that_the_zone_return_refuses(monkeypatch: pytest.MonkeyPatch) -> None:
     fleet = start_fleet(machines=3)
     submit_batch(fleet, 6)
-    fleet.pass_time(3.0)
+    fleet.advance(3.0)
     assert running_count(fleet, BATCH) == 6
     monkeypatch.setattr(ZoneCoordinator, "admits", lambda self, machine, job: False)
     submit_service(fleet, 1)
-    fleet.pass_time(3.0)
+    fleet.advance(3.0)
     assert running_count(fleet, BATCH) == 6
 
 
 async def test_tasks_that_a_new_leader_finds_running_do_not_count_as_returned() -> None:
     fleet = start_fleet()
     submit_service(fleet, 4, yard="zc")
-    fleet.pass_time(3.0)
+    fleet.advance(3.0)
     fleet.cut("zc")
-    fleet.pass_time(OUTAGE_S)
+    fleet.advance(OUTAGE_S)
     fleet.cut()
-    fleet.pass_time(3.0)
+    fleet.advance(3.0)
     assert zone_state(fleet) is ZoneState.PROBATION and running_count(fleet, SERVICE) == 4
     fleet.elect()
-    fleet.pass_time(3.0)
+    fleet.advance(3.0)
     zones = fleet.leader.scheduler.zones
     assert isinstance(zones, ZoneCoordinator) and not zones.return_log.returned
 
@@ -573,10 +573,10 @@
     submit_service(fleet, 2, "req-000010", owner="red", cores=4.0, memoryGb=16.0)
     submit_service(fleet, 4, "req-000011", yard="zc")
     submit_batch(fleet, 16)
-    fleet.pass_time(6.0)
+    fleet.advance(6.0)
     assert running_count(fleet, SERVICE) + running_count(fleet, "req-000010") == 4
     fleet.cut("zc")
-    fleet.pass_time(OUTAGE_S)
+    fleet.advance(OUTAGE_S)
     fleet.cut()
 
     def check_limit() -> None:
@@ -584,6 +584,6 @@
         assert len(red_tasks) <= 4
 
     fleet.checks.append(check_limit)
-    fleet.pass_time(MAX_HOLD_S + 10.0)
+    fleet.advance(MAX_HOLD_S + 10.0)
     assert running_count(fleet, SERVICE) + running_count(fleet, "req-000010") == 4
     assert running_count(fleet, "req-000011", "zc") == 4 and running_count(fleet, BATCH) == 16
