--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements that take too long for CI; each is a program of its own."""
+"""Benchmarks and long checks that take too long for CI; each module is a program."""
--- a/benchmarks/leader_load.py
+++ b/benchmarks/leader_load.py
@@ -1,10 +1,10 @@
-"""Processor time and memory of one leader against the number of machines that report to it, on loopback.
+"""Measures a leader's CPU time and memory against the number of machines that report to it, on loopback.
 
     python -m benchmarks.leader_load --machines 1000 --machines 4000 --seconds 40
 
-A real controller process runs against a stand-in state service, a stand-in cloud that lists all machines as running,
-and stand-in workers with a connection each. The workers carry tasks out, so that claims, ends and orders are part of
-what is measured. Nothing limits the process: what is printed is the share of a core it used.
+A real controller process runs against a simulated state service, a simulated cloud that lists all machines as running,
+and simulated workers with one connection each. The workers execute tasks, so that claims, ends and orders are part of
+the load. The process is not limited: the benchmark prints the share of a core that it used.
 """
 
 from __future__ import annotations
@@ -31,10 +31,10 @@
 from ladderfield.testing import StateService, job
 
 CONTROLLER_PORT, BACK_PORT, STATE_PORT, CLOUD_PORT = 18080, 18081, 12379, 18443
-WORKER_PORT = 19000  # each worker has a loopback address of its own
-PROCESSES = 3  # of workers
-LIST_MOST = 500  # the protocol: machines on one page of the cloud's list
-JOB_EVERY_S = 0.5
+WORKER_PORT = 19000  # each worker has its own loopback address
+WORKER_PROCESSES = 3
+MAX_PAGE_MACHINES = 500  # machines on one page of the cloud's list, as in the protocol
+JOB_INTERVAL_S = 0.5
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 KILOBYTES_PER_PAGE = os.sysconf("SC_PAGE_SIZE") // 1024
 
@@ -55,7 +55,7 @@
 
 
 class ListedCloud:
-    """A cloud that lists machines which are up already, and rents out none."""
+    """A cloud that lists machines as running and rents out no others."""
 
     def __init__(self, machines: int) -> None:
         self.hosts = [worker_listing(number) for number in range(machines)]
@@ -65,14 +65,14 @@
         ]  # fmt: skip
 
     async def __call__(self, request: Request) -> Reply:
-        """Any request."""
+        """Answer one request."""
         path, _, query = request.path.partition("?")
         if path == "/machine_types":
             return Reply(200, {"flavours": self.types})
         if path == "/machines" and request.method == "GET":
             after = dict(part.split("=", 1) for part in query.split("&")).get("after", "")
-            rest = [host for host in self.hosts if host["uid"] > after]
-            return Reply(200, {"hosts": rest[:LIST_MOST], "hasNext": len(rest) > LIST_MOST})
+            remaining = [host for host in self.hosts if host["uid"] > after]
+            return Reply(200, {"hosts": remaining[:MAX_PAGE_MACHINES], "hasNext": len(remaining) > MAX_PAGE_MACHINES})
         if path == "/machines/delete":
             return Reply(200, {})
         return Reply(503, {"error": "no capacity"})
@@ -88,7 +88,7 @@
 
 
 class Usage:
-    """What a process has used so far."""
+    """CPU time and memory that a process has used so far."""
 
     def __init__(self, pid: int) -> None:
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
@@ -97,22 +97,22 @@
 
 
 async def submit_jobs(tasks_per_s: float, run_s: float) -> None:
-    """Submit arrays for ever, so many tasks a second."""
+    """Submit arrays forever, at this many tasks a second."""
     client = Client("127.0.0.1", CONTROLLER_PORT)
     for number in itertools.count():
         spec = job(
-            f"req-{number:06d}", rungs=max(1, int(tasks_per_s * JOB_EVERY_S)), cores=1.0, memoryGb=1.0, expectS=run_s,
-            bundle=f"img-{number % 5}",
+            f"req-{number:06d}", rungs=max(1, int(tasks_per_s * JOB_INTERVAL_S)), cores=1.0, memoryGb=1.0,
+            expectS=run_s, bundle=f"img-{number % 5}",
         )  # fmt: skip
         try:
             await client.call("POST", "/api/jobs", spec, 5.0)
         except NoAnswerError:
             await client.close_idle()
-        await trio.sleep(JOB_EVERY_S)
+        await trio.sleep(JOB_INTERVAL_S)
 
 
-async def serve_outside(machines: int, nursery: trio.Nursery) -> None:
-    """The state service and the cloud."""
+async def serve_state_and_cloud(machines: int, nursery: trio.Nursery) -> None:
+    """Start the state service and the cloud."""
     state = StateService()
     nursery.start_soon(state.run)
     for port, handler in ((STATE_PORT, state), (CLOUD_PORT, ListedCloud(machines))):
@@ -121,7 +121,7 @@
 
 
 async def observe(pid: int, settle_s: float, seconds: float) -> tuple[float, float]:
-    """The share of a core that a process uses once it has settled, and its memory."""
+    """The share of a core that a process uses after ``settle_s``, and its memory in MB."""
     await trio.sleep(settle_s)
     before = Usage(pid)
     await trio.sleep(seconds)
@@ -132,7 +132,7 @@
 async def measure(
     machines: int, seconds: float, report_s: float, busy: float, run_s: float, profile: bool, flags: str
 ) -> None:
-    """One size: start everything, let it settle, and print what the leader used."""
+    """Measure one fleet size: start all processes, let the load settle, and print the leader's usage."""
     context = multiprocessing.get_context("spawn")  # a fork would inherit this event loop
     results: Any = context.Queue()
     with tempfile.TemporaryDirectory() as folder:
@@ -152,56 +152,56 @@
         if profile:
             command[2] = "benchmarks.sampled_controller"
         async with trio.open_nursery() as nursery:
-            await serve_outside(machines, nursery)
+            await serve_state_and_cloud(machines, nursery)
             controller = subprocess.Popen(command)
             workers = [
                 context.Process(
                     target=run_workers,
                     args=(
-                        [worker_listing(number) for number in range(process, machines, PROCESSES)],
+                        [worker_listing(number) for number in range(process, machines, WORKER_PROCESSES)],
                         CONTROLLER_PORT, report_s, run_s, seconds, results,
                     ),
                 )
-                for process in range(PROCESSES)
+                for process in range(WORKER_PROCESSES)
             ]  # fmt: skip
-            for one in workers:
-                one.start()
+            for worker_process in workers:
+                worker_process.start()
             tasks_per_s = busy * machines * 8 / run_s
             nursery.start_soon(submit_jobs, tasks_per_s, run_s)
             cores, memory_mb = await observe(controller.pid, seconds / 2, seconds / 2)
             reports = [await trio.to_thread.run_sync(results.get) for _ in workers]
             controller.send_signal(signal.SIGINT if profile else signal.SIGTERM)
-            for one in workers:
-                one.join()
+            for worker_process in workers:
+                worker_process.join()
             controller.wait()
             nursery.cancel_scope.cancel()
     print_result(machines, cores, memory_mb, reports, seconds)
 
 
 def print_result(machines: int, cores: float, memory_mb: float, reports: list[bytes], seconds: float) -> None:
-    """One line for one size."""
+    """Print one line for one fleet size."""
     waits, answered, refused, ended = DDSketch(0.02), 0, 0, 0
     for data in reports:
         result = msgspec.json.decode(data)
         answered, refused, ended = answered + result["answered"], refused + result["refused"], ended + result["ended"]
         for wait in result["waits"]:
             waits.add(wait)
-    middle, worst = (1000 * (waits.get_quantile_value(share) or 0.0) for share in (0.5, 0.99))
+    median_ms, p99_ms = (1000 * (waits.get_quantile_value(share) or 0.0) for share in (0.5, 0.99))
     click.echo(
         f"{machines} machines: {cores:.2f} of a core, {memory_mb:.0f} MB; {answered / seconds:.0f} reports a second, "
-        f"answered within {middle:.0f} ms (half) and {worst:.0f} ms (99%), {refused} refused; "
+        f"answered within {median_ms:.0f} ms (median) and {p99_ms:.0f} ms (99%), {refused} refused; "
         f"{ended / seconds:.0f} tasks a second"
     )
 
 
 @click.command()
 @click.option("--machines", multiple=True, type=int, default=(1000, 2000, 4000), show_default=True)
-@click.option("--seconds", default=60.0, show_default=True, help="How long each size runs; the second half counts.")
+@click.option("--seconds", default=60.0, show_default=True, help="Run time of each size; the second half is measured.")
 @click.option("--report-s", default=3.0, show_default=True)
-@click.option("--busy", default=0.5, show_default=True, help="Share of the cpus that tasks are submitted for.")
-@click.option("--run-s", default=10.0, show_default=True, help="How long a task runs.")
-@click.option("--profile", is_flag=True, help="Sample the controller's stack and print where its time went.")
-@click.option("--flags", default="", help="More flags for the controller, as one text.")
+@click.option("--busy", default=0.5, show_default=True, help="Share of the cores to fill with tasks.")
+@click.option("--run-s", default=10.0, show_default=True, help="Run time of a task.")
+@click.option("--profile", is_flag=True, help="Sample the controller's stack and print a profile.")
+@click.option("--flags", default="", help="Additional flags for the controller, as one string.")
 def main(
     machines: tuple[int, ...], seconds: float, report_s: float, busy: float, run_s: float, profile: bool, flags: str
 ) -> None:
--- a/benchmarks/sampled_controller.py
+++ b/benchmarks/sampled_controller.py
@@ -1,9 +1,9 @@
-"""A controller that samples its own stack, to see where a loaded leader's time goes.
+"""Runs a controller that samples its own stack, to profile a leader under load.
 
     python -m benchmarks.sampled_controller serve --config SETTINGS.json
 
-Tracing every call would multiply the cost of small functions; a sample each few milliseconds hardly changes it. At an
-interrupt it writes the functions with the most samples, themselves and with what they call, to standard error.
+Tracing every call would multiply the cost of small functions; one sample every few milliseconds adds little. On an
+interrupt it prints the functions with the most samples, by own and by cumulative count, to standard error.
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
 
 from ladderfield.cli import main
 
-EVERY_S = 0.004  # of processor time
-MOST = 45  # lines
+SAMPLE_INTERVAL_S = 0.004  # of CPU time
+MAX_LINES = 45
 
 
 class Sampler:
-    """Counts the functions on the stack."""
+    """Counts samples by function: at the top of the stack, and anywhere on it."""
 
     def __init__(self) -> None:
-        self.inner: Counter[str] = Counter()
-        self.whole: Counter[str] = Counter()
+        self.own: Counter[str] = Counter()
+        self.cumulative: Counter[str] = Counter()
         self.samples = 0
 
-    def take(self, _: int, frame: FrameType | None) -> None:
+    def sample(self, _: int, frame: FrameType | None) -> None:
         """Take a sample."""
         self.samples += 1
         seen: set[str] = set()
@@ -35,24 +35,24 @@
             code = frame.f_code
             name = f"{code.co_filename.rsplit('/', 1)[-1]}:{code.co_name}"
             if not seen:
-                self.inner[name] += 1
+                self.own[name] += 1
             seen.add(name)
             frame = frame.f_back
-        self.whole.update(seen)
+        self.cumulative.update(seen)
 
-    def show(self) -> None:
-        """Write both lists."""
-        for title, counts in (("itself", self.inner), ("with what it calls", self.whole)):
+    def print_report(self) -> None:
+        """Print both lists."""
+        for title, counts in (("itself", self.own), ("with what it calls", self.cumulative)):
             print(f"-- {title}, of {self.samples} samples", file=sys.stderr)
-            for name, count in counts.most_common(MOST):
+            for name, count in counts.most_common(MAX_LINES):
                 print(f"{100 * count / max(1, self.samples):5.1f}% {name}", file=sys.stderr)
 
 
 if __name__ == "__main__":
     sampler = Sampler()
-    signal.signal(signal.SIGPROF, sampler.take)
-    signal.setitimer(signal.ITIMER_PROF, EVERY_S, EVERY_S)
+    signal.signal(signal.SIGPROF, sampler.sample)
+    signal.setitimer(signal.ITIMER_PROF, SAMPLE_INTERVAL_S, SAMPLE_INTERVAL_S)
     try:
         main()
     finally:
-        sampler.show()
+        sampler.print_report()
--- a/benchmarks/zone_flaps.py
+++ b/benchmarks/zone_flaps.py
@@ -1,8 +1,8 @@
-"""Order and timings of many returns of a zone, with three controllers over real sockets.
+"""Measures order and timing when a zone returns many times, with three controllers over real sockets.
 
     python -m benchmarks.zone_flaps --flaps 20
 
-The longer form of ``ladderfield/zones/test_loopback.py``: with the order of returns and without it.
+A longer form of ``ladderfield/zones/test_loopback.py``, with the zone order and without it.
 """
 
 from __future__ import annotations
@@ -20,18 +20,19 @@
 @click.option("--flaps", default=20, show_default=True)
 @click.option("--order", default="production,standard,best_effort", show_default=True)
 def main(flaps: int, order: str) -> None:
-    """Flap with the order and without it; a line for each."""
-    for text in (order, None):
-        outages, starts = trio.run(flap, check(ZoneFlags(text), ZONES, 0.0), flaps)
+    """Cut the zone off repeatedly, with the zone order and without it; print one line for each."""
+    for zone_order in (order, None):
+        outages, starts = trio.run(flap, check(ZoneFlags(zone_order), ZONES, 0.0), flaps)
         early = batch_before_service(outages, starts)
         waits = DDSketch(0.02)
         for outage in outages:
             if outage.restored_at is not None:
                 waits.add(outage.restored_at - outage.back_at)
-        half, worst = waits.get_quantile_value(0.5) or 0.0, waits.get_quantile_value(1.0) or 0.0
+        median_s, max_s = waits.get_quantile_value(0.5) or 0.0, waits.get_quantile_value(1.0) or 0.0
         click.echo(
-            f"order {text or 'off'}: {len(outages)} returns, in {sum(map(bool, early))} of them batch before the "
-            f"service ({sum(map(len, early))} tasks); service up after {half:.1f} s (half), {worst:.1f} s (longest)"
+            f"order {zone_order or 'off'}: {len(outages)} returns, in {sum(map(bool, early))} of them batch before "
+            f"the service ({sum(map(len, early))} tasks); service up after {median_s:.1f} s (median), "
+            f"{max_s:.1f} s (longest)"
         )
 
 
--- a/ladderfield/testing/__init__.py
+++ b/ladderfield/testing/__init__.py
@@ -1,7 +1,7 @@
-"""Scripted peers for the tests: a state service, a cloud and workers that speak the protocol over memory streams.
+"""Test doubles: a state service, a cloud and workers that speak the protocol over in-memory streams.
 
-They follow the protocol's words, not any implementation's; what a test wants to go wrong (silence, outages, late
-copies) is a switch on them. With ``trio.testing.MockClock`` a day passes in the time its code takes.
+They are written from the protocol, not from an implementation of it. Failures (silence, outages, delayed duplicates)
+are switches on them. With ``trio.testing.MockClock`` a simulated day takes only the time that its code needs.
 """
 
 from ladderfield.testing.cloud_service import CloudService
--- a/ladderfield/testing/cloud_service.py
+++ b/ladderfield/testing/cloud_service.py
@@ -1,4 +1,4 @@
-"""The cloud in memory: rents machines out and lists them."""
+"""An in-memory cloud that rents out machines and lists them."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 
 class CloudService:
-    """The cloud; ``boot`` makes the worker of a rented machine."""
+    """An in-memory cloud; ``boot`` creates the worker of a rented machine."""
 
     def __init__(self, boot: Callable[[str, dict[str, Any]], Worker]) -> None:
         self.boot = boot
         self.hosts: dict[str, dict[str, Any]] = {}
         self.workers: dict[str, Worker] = {}
-        self.hires: dict[str, list[str]] = {}
+        self.rentals: dict[str, list[str]] = {}
         self.capacity = 20
         self.down = False
         self.boots = True
         self.types = TYPES
 
     async def __call__(self, request: Request) -> Reply:
-        """Any request."""
+        """Answer one request."""
         await trio.sleep(0.05)
         if self.down:
             return Reply(503, {"error": "trouble"})
@@ -42,9 +42,9 @@
                 self.hosts.pop(host, None)
                 if host in self.workers:
                     self.workers[host].dead = True
-                    self.workers[host].lose_all()
+                    self.workers[host].discard_tasks()
             return Reply(200, {})
-        if body["hire"] not in self.hires:
+        if body["hire"] not in self.rentals:
             count = min(body["howMany"], self.capacity - len(self.hosts))
             if count <= 0:
                 return Reply(503, {"error": "no capacity"})
@@ -54,8 +54,8 @@
                 names.append(host)
                 worker = self.workers[host] = self.boot(host, body)
                 self.hosts[host] = {
-                    "uid": host, "endpoint": worker.about["endpoint"], "flavour": body["flavour"],
+                    "uid": host, "endpoint": worker.report_fields["endpoint"], "flavour": body["flavour"],
                     "yard": body["yard"], "loaners": body["loaners"], "phase": "running", "heldS": 1.0,
                 }  # fmt: skip
-            self.hires[body["hire"]] = names
-        return Reply(200, {"hosts": self.hires[body["hire"]]})
+            self.rentals[body["hire"]] = names
+        return Reply(200, {"hosts": self.rentals[body["hire"]]})
--- a/ladderfield/testing/jobs_api.py
+++ b/ladderfield/testing/jobs_api.py
@@ -1,4 +1,4 @@
-"""The jobs API on a scripted state service, without a whole controller."""
+"""The jobs API on a scripted state service, without the rest of a controller."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 async def serving_jobs_api(monkeypatch: pytest.MonkeyPatch, nursery: trio.Nursery) -> tuple[JobsApi, StateService]:
-    """A controller's jobs API that follows a scripted state service; both are returned."""
+    """Start a jobs API that follows a scripted state service; returns both."""
     net, service = Network(nursery), StateService()
     net.http("10.2.0.1:23", service)
     monkeypatch.setattr("ladderfield.http.connect", net.connect)
--- a/ladderfield/testing/leader.py
+++ b/ladderfield/testing/leader.py
@@ -1,4 +1,4 @@
-"""A leader's tables for the tests, with machines that report by hand."""
+"""A leader's scheduler for unit tests; the test sends the machines' reports itself."""
 
 from __future__ import annotations
 
@@ -22,64 +22,69 @@
 from ladderfield.workers.report import Report
 
 EPOCH_NOW = 7
-ABOUT = ["za", "10.9.0.1:90", "m4", False]  # what a page says of a machine
+MACHINE_RECORD = [
+    "za",
+    "10.9.0.1:90",
+    "m4",
+    False,
+]  # a machine's entry in a claims page: zone, endpoint, machine type, spot
 
 
 class SchedulerHarness:
-    """A scheduler, its ledger, and machines that report by hand."""
+    """A scheduler and its ledger, with methods that feed it reports and state changes."""
 
     def __init__(self, data: dict[str, Any] | None = None) -> None:
         self.pushed: list[str] = []
-        self.on_record: dict[str, Any] = {TYPES_KEY: (TYPES, 1)} | (data or {})
-        self.dependencies = DependencyGraph(lambda key: self.on_record.get(key, (None, 0))[0])
+        self.records: dict[str, Any] = {TYPES_KEY: (TYPES, 1)} | (data or {})
+        self.dependencies = DependencyGraph(lambda key: self.records.get(key, (None, 0))[0])
         self.scheduler = Scheduler(settings(), EPOCH_NOW, 0.0, 1000.0, 36.0, self.dependencies)
         self.scheduler.push = lambda machine: self.pushed.append(machine.host)
-        for key, (value, stamp) in self.on_record.items():
-            self.dependencies.apply_change(Change(key, value, stamp))
-        self.scheduler.load(self.on_record, 0.0)
+        for key, (value, revision) in self.records.items():
+            self.dependencies.apply_change(Change(key, value, revision))
+        self.scheduler.load(self.records, 0.0)
         self.ledger = Ledger(self.scheduler, 3, 16)
-        self.stamp = 10
-        self.ticks: dict[str, int] = {}
+        self.revision = 10
+        self.sequences: dict[str, int] = {}
 
     def submit(self, uid: str = "req-000001", **changes: Any) -> None:
-        """A job appears in the state service."""
-        self.appear(f"lf/j/{uid}", accepted(job(uid, **changes), at=1000.0), 5)
+        """Add a job's record to the state service."""
+        self.set_key(f"lf/j/{uid}", accepted(job(uid, **changes), at=1000.0), 5)
 
-    def appear(self, key: str, value: Any, stamp: int, now: float = 0.0) -> None:
-        """A key changes in the state service."""
-        self.on_record[key] = (value, stamp)
-        self.dependencies.apply_change(Change(key, value, stamp))
-        self.scheduler.take_changes([Change(key, value, stamp)], now)
+    def set_key(self, key: str, value: Any, revision: int, now: float = 0.0) -> None:
+        """Change a key in the state service."""
+        self.records[key] = (value, revision)
+        self.dependencies.apply_change(Change(key, value, revision))
+        self.scheduler.take_changes([Change(key, value, revision)], now)
 
-    def tell(self, uid: str = "req-000001", phase: str = "done") -> None:
-        """The job's final state appears in the state service."""
-        self.appear(f"lf/f/{uid}", {"phase": phase, "at": 1000.0}, 9)
+    def record_final_state(self, uid: str = "req-000001", phase: str = "done") -> None:
+        """Add the job's final state to the state service."""
+        self.set_key(f"lf/f/{uid}", {"phase": phase, "at": 1000.0}, 9)
 
     def report(
         self,
         host: str = "m",
-        rungs: tuple[dict[str, Any], ...] = (),
+        tasks: tuple[dict[str, Any], ...] = (),
         now: float = 1.0,
-        tenure: int = 1,
+        session: int = 1,
         epoch: int = EPOCH_NOW,
-        **about: Any,
+        **fields: Any,
     ) -> list[dict[str, Any]]:
-        """The machine reports; what it is told."""
-        self.ticks[host] = self.ticks.get(host, 0) + 1
+        """Send a machine's report and run the scheduler; returns the orders in the answer."""
+        self.sequences[host] = self.sequences.get(host, 0) + 1
         raw = {
             "host": host, "endpoint": "10.9.0.1:90", "flavour": "m4", "yard": "za", "loaners": False,
-            "tenure": tenure, "tick": self.ticks[host], "epoch": epoch, "rungs": list(rungs),
-        } | about  # fmt: skip
+            "tenure": session, "tick": self.sequences[host], "epoch": epoch, "rungs": list(tasks),
+        } | fields  # fmt: skip
         machine = self.scheduler.sessions.report(msgspec.convert(raw, Report), now, answering=True)
         assert machine is not None
         self.scheduler.schedule(now)
-        return wire_orders(self.scheduler.sessions.orders(machine, now, self.ticks[host]))
+        return wire_orders(self.scheduler.sessions.orders(machine, now, self.sequences[host]))
 
-    def record(self, now: float = 1.0) -> None:
-        """Everything due is written and answered."""
+    def write_records(self, now: float = 1.0) -> None:
+        """Write all records that are due and apply the answers."""
         while (txn := self.ledger.collect(True)) is not None:
-            self.stamp += 1
-            self.ledger.applied(txn, self.stamp, now)
+            self.revision += 1
+            self.ledger.applied(txn, self.revision, now)
 
     def machine(self, host: str = "m") -> Machine:
         """The machine's entry in the scheduler's tables."""
@@ -87,46 +92,46 @@
 
 
 def wire_orders(orders: list[Order]) -> list[dict[str, Any]]:
-    """Orders as a worker reads them."""
+    """Orders as a worker decodes them."""
     return [msgspec.json.decode(msgspec.json.encode(order)) for order in orders]
 
 
-def rung(
+def reported_task(
     index: int, attempt: int, phase: str = "running", cause: str | None = None, uid: str = "req-000001"
 ) -> dict[str, Any]:
-    """A task in a report."""
+    """An entry of a report's task list."""
     return {"rung": f"{uid}/{index}", "try": attempt, "phase": phase, "cause": cause}
 
 
-def launched(harness: SchedulerHarness, tasks: int = 1, **changes: Any) -> int:
-    """A job whose first task was launched on machine m; its attempt."""
+def launch_job(harness: SchedulerHarness, tasks: int = 1, **changes: Any) -> int:
+    """Submit a job and launch its tasks on machine m; returns the first task's attempt."""
     harness.submit(rungs=tasks, **changes)
     harness.report()
-    harness.record()
+    harness.write_records()
     orders = harness.report()
     assert [order["verb"] for order in orders] == ["launch"] * tasks
     return int(orders[0]["try"])
 
 
-def launched_by_push(harness: SchedulerHarness) -> tuple[Machine, dict[str, Any]]:
-    """A job whose one task was launched on machine m over /orders, without an answer yet; the machine and the order."""
+def launch_by_push(harness: SchedulerHarness) -> tuple[Machine, dict[str, Any]]:
+    """Launch a single-task job on machine m over /orders, not answered yet; returns the machine and the order."""
     harness.submit(rungs=1)
     harness.report()
-    harness.record()
+    harness.write_records()
     machine = harness.machine()
     (order,) = wire_orders(harness.scheduler.sessions.orders(machine, 1.0, None))
     return machine, order
 
 
-def inherited(attempt: int = 99) -> dict[str, Any]:
-    """What an earlier leader left on record."""
+def inherited_records(attempt: int = 99) -> dict[str, Any]:
+    """Records that an earlier leader wrote: one job with a claim on machine m."""
     return {
         "lf/j/req-000001": (accepted(job(rungs=1, cores=4.0)), 4),
-        "lf/p/0": ({"hosts": {"m": ABOUT}, "req-000001": {"a": {"0": [attempt, "m"]}}}, 6),
+        "lf/p/0": ({"hosts": {"m": MACHINE_RECORD}, "req-000001": {"a": {"0": [attempt, "m"]}}}, 6),
     }
 
 
-def claimed_leader() -> Leader:
+def leader_with_claim() -> Leader:
     """A leader of epoch 7 with one recorded claim, not launched yet, on machine m."""
     client = StateClient(settings())
     term = Term(7, 3, 1, 0.0, 2.0, 17.0, 0.0)
@@ -143,6 +148,6 @@
     return leader
 
 
-def session_report(tenure: int, tick: int) -> Report:
-    """An empty report of machine m, with the epoch of ``claimed_leader``."""
-    return Report("m", "10.9.0.1:90", "m4", "za", False, tenure, tick, 7, None, [])
+def session_report(session: int, sequence: int) -> Report:
+    """An empty report of machine m, with the epoch of ``leader_with_claim``."""
+    return Report("m", "10.9.0.1:90", "m4", "za", False, session, sequence, 7, None, [])
--- a/ladderfield/testing/linked_controller.py
+++ b/ladderfield/testing/linked_controller.py
@@ -2,8 +2,8 @@
 
     python -m ladderfield.testing.linked_controller LINKS_FILE serve --config SETTINGS.json
 
-Its connections come from the host that it listens on, so that others can tell whose they are. LINKS_FILE holds the
-links that are held at present, as pairs of hosts; ``workers`` stands for all workers.
+Its connections originate from the host that it listens on, so that a link is identified by a pair of hosts. LINKS_FILE
+lists the links that are blocked at present as such pairs; ``workers`` stands for all workers.
 """
 
 from __future__ import annotations
@@ -20,42 +20,42 @@
 from ladderfield.settings import address, load
 from ladderfield.testing.network import Link, LinkedStream, blocked
 
-LOOK_S = 0.02
+POLL_INTERVAL_S = 0.02
 
 
 class LinksFile:
-    """The links that are held, as the file says."""
+    """The blocked links, read from a file."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
-        self._changed_at = 0
-        self._held: set[Link] = set()
+        self._modified_ns = 0
+        self._blocked: set[Link] = set()
 
-    def held(self) -> set[Link]:
-        """As of now."""
-        changed_at = os.stat(self.path).st_mtime_ns
-        if changed_at != self._changed_at:
-            self._held = {Link(*pair) for pair in msgspec.json.decode(self.path.read_bytes(), type=list[list[str]])}
-            self._changed_at = changed_at
-        return self._held
+    def blocked_links(self) -> set[Link]:
+        """The links that are blocked now; the file is read again after a change."""
+        modified_ns = os.stat(self.path).st_mtime_ns
+        if modified_ns != self._modified_ns:
+            self._blocked = {Link(*pair) for pair in msgspec.json.decode(self.path.read_bytes(), type=list[list[str]])}
+            self._modified_ns = modified_ns
+        return self._blocked
 
-    async def passes(self, link: Link) -> None:
-        """Wait until what is sent in this direction arrives."""
-        while blocked(link, self.held()):
-            await trio.sleep(LOOK_S)
+    async def wait_open(self, link: Link) -> None:
+        """Wait until the link is not blocked."""
+        while blocked(link, self.blocked_links()):
+            await trio.sleep(POLL_INTERVAL_S)
 
 
 class LinkedConnector:
-    """Stands for ``ladderfield.http.connect``."""
+    """Provides the replacement for ``ladderfield.http.connect``."""
 
     def __init__(self, own_host: str, links: LinksFile) -> None:
         self.own_host, self.links = own_host, links
 
     async def connect(self, host: str, port: int) -> trio.abc.Stream:
-        """A connection from our own host, once both directions are open."""
+        """Connect from the controller's own host, once both directions are open."""
         link = Link(self.own_host, host)
-        await self.links.passes(link)
-        await self.links.passes(Link(host, self.own_host))
+        await self.links.wait_open(link)
+        await self.links.wait_open(Link(host, self.own_host))
         socket = trio.socket.socket()
         try:
             await socket.bind((self.own_host, 0))
@@ -67,7 +67,7 @@
 
 
 def run() -> None:
-    """Run the program with its connections cut as the file says."""
+    """Run the command line with all outgoing connections subject to the links file."""
     links_file, *arguments = sys.argv[1:]
     settings = load(Path(arguments[arguments.index("--config") + 1]))
     connector = LinkedConnector(address(settings.bind)[0], LinksFile(Path(links_file)))
--- a/ladderfield/testing/samples.py
+++ b/ladderfield/testing/samples.py
@@ -1,4 +1,4 @@
-"""Settings, machine types and jobs that the tests use."""
+"""Sample settings, machine types and jobs for the tests."""
 
 from __future__ import annotations
 
@@ -41,16 +41,16 @@
 
 def settings(member: int = 0) -> Settings:
     """Settings of one of three controllers."""
-    everyone = {f"n{n}": f"10.0.0.{n + 1}" for n in range(3)}
-    mine = everyone.pop(f"n{member}")
-    raw = SETTINGS | {"member": f"n{member}", "bind": f"{mine}:80", "back": f"{mine}:81"}
+    hosts = {f"n{number}": f"10.0.0.{number + 1}" for number in range(3)}
+    own_host = hosts.pop(f"n{member}")
+    raw = SETTINGS | {"member": f"n{member}", "bind": f"{own_host}:80", "back": f"{own_host}:81"}
     zones = {"n0": "za", "n1": "zb", "n2": "za"}
-    raw["peers"] = [{"member": name, "location": zones[name], "endpoint": f"{at}:81"} for name, at in everyone.items()]
+    raw["peers"] = [{"member": name, "location": zones[name], "endpoint": f"{host}:81"} for name, host in hosts.items()]
     return msgspec.convert(raw, Settings)
 
 
 def job(uid: str = "req-000001", **changes: Any) -> dict[str, Any]:
-    """A submission."""
+    """A job as a user submits it."""
     base = {
         "uid": uid, "jobclass": "batch", "owner": "red", "shape": "array", "rank": "standard", "rungs": 2,
         "cores": 2.0, "cards": 0.0, "memoryGb": 4.0, "bundle": "img-1", "sizeGb": 1.0, "flavours": None,
@@ -61,5 +61,5 @@
 
 
 def accepted(*specs: dict[str, Any], at: float = 990.0) -> dict[str, Any]:
-    """The record on which these submissions stand."""
+    """The state service's record of these accepted jobs."""
     return {"jobs": {spec["uid"]: {"spec": spec, "at": at, "block": 256} for spec in specs}}
--- a/ladderfield/testing/worker.py
+++ b/ladderfield/testing/worker.py
@@ -1,4 +1,4 @@
-"""A machine's worker: reports, carries orders out, and fails as a test wants it to."""
+"""A scripted worker: it reports, executes orders, and fails in the ways that a test sets."""
 
 from __future__ import annotations
 
@@ -14,150 +14,160 @@
 
 
 class Worker:
-    """A machine's worker; ``log`` has every start as (time, task, attempt)."""
-
-    def __init__(self, host: str, at: str, net: Network, controllers: list[str], **about: Any) -> None:
-        self.about = {"host": host, "endpoint": f"{at}:90", "flavour": "m4", "yard": "za", "loaners": False} | about
-        self.net, self.controllers, self.address = net, controllers, at
+    """The worker of one machine; ``started`` lists every start as (time, task, attempt)."""
+
+    def __init__(self, host: str, address: str, net: Network, controllers: list[str], **fields: Any) -> None:
+        self.report_fields = {
+            "host": host,
+            "endpoint": f"{address}:90",
+            "flavour": "m4",
+            "yard": "za",
+            "loaners": False,
+        } | fields
+        self.net, self.controllers, self.address = net, controllers, address
         self.run_s = 5.0
-        self.lease_s, self.pace_s, self.fetch_s = 12.0, 0.5, 0.0
-        self.endless: Callable[[str], bool] = lambda uid: False  # which jobs are services
-        self.fail: set[str] = set()  # jobs whose tasks fail here
-        self.tenure, self.tick, self.epoch = 1, 0, 0
-        self.answered = trio.current_time()  # when the last answered report was sent
-        self.rungs: dict[str, dict[str, Any]] = {}
-        self.ends: dict[str, float] = {}
-        self.log: list[tuple[float, str, int]] = []
-        self.ended: list[tuple[float, str, int]] = []  # when each attempt left the machine
-        self.held: list[dict[str, Any]] = []  # /orders kept back while ``hold`` is set
-        self.hold = False
-        self.hung_until = -math.inf  # it does nothing until then; what reached it meanwhile is carried out late
-        self.loses_answers = False  # carries /orders out, but its answers are lost
-        self.deaf = False  # its reports go out, but no answer and no command comes in
-        self.sent: list[dict[str, Any]] = []  # its reports, so that copies may come late
-        self.mute = False  # it opens no connection to any controller; direct commands reach it
+        self.lease_s, self.report_pause_s, self.fetch_s = 12.0, 0.5, 0.0
+        self.is_service: Callable[[str], bool] = lambda uid: False  # whether a job's tasks run until stopped
+        self.failing_jobs: set[str] = set()  # jobs whose tasks fail on this machine
+        self.session, self.sequence, self.epoch = 1, 0, 0
+        self.lease_renewed_at = trio.current_time()  # send time of the last answered report
+        self.tasks: dict[str, dict[str, Any]] = {}
+        self.phase_ends: dict[str, float] = {}
+        self.started: list[tuple[float, str, int]] = []
+        self.ended: list[tuple[float, str, int]] = []  # end of every attempt as (time, task, attempt)
+        self.withheld_orders: list[dict[str, Any]] = []  # /orders received while ``withhold_orders`` is set
+        self.withhold_orders = False
+        self.hung_until = -math.inf  # it does nothing until then, and handles requests received meanwhile afterwards
+        self.drop_answers = False  # executes /orders, but its answers are lost
+        self.drop_incoming = False  # its reports arrive, but it receives no answers and no commands
+        self.sent_reports: list[dict[str, Any]] = []  # all reports, so that a test can deliver copies late
+        self.reporting_disabled = False  # it connects to no controller, but receives direct commands
         self.dead = False
 
-    def body(self) -> dict[str, Any]:
-        """The present report."""
+    def report(self) -> dict[str, Any]:
+        """The next report."""
         self._progress()
-        self.tick += 1
-        return self.about | {
-            "tenure": self.tenure, "tick": self.tick, "epoch": self.epoch, "recallS": None,
-            "rungs": [dict(rung) for rung in self.rungs.values()],
+        self.sequence += 1
+        return self.report_fields | {
+            "tenure": self.session, "tick": self.sequence, "epoch": self.epoch, "recallS": None,
+            "rungs": [dict(task) for task in self.tasks.values()],
         }  # fmt: skip
 
     def _progress(self) -> None:
         if trio.current_time() < self.hung_until:
             return
-        if trio.current_time() - self.answered > self.lease_s:
-            self.lose_all()
-            self.tenure, self.tick = self.tenure + 1, 0
-            self.answered = trio.current_time()
-        for name, rung in self.rungs.items():
-            if rung["phase"] == "fetching" and trio.current_time() >= self.ends[name]:
-                rung["phase"] = "running"
-                self.ends[name] = self._end_of(name)
-            if rung["phase"] == "running" and trio.current_time() >= self.ends[name]:
-                rung |= {"phase": "exited", "cause": "error" if name.split("/")[0] in self.fail else "done"}
-                self._leaves(name)
-
-    def _leaves(self, name: str) -> None:
-        """An attempt is no longer on the machine."""
-        self.ended.append((trio.current_time(), name, self.rungs[name]["try"]))
-
-    def lose_all(self) -> None:
-        """The lease has run out, or the machine is gone."""
-        for name, rung in self.rungs.items():
-            if rung["phase"] != "exited":
-                self._leaves(name)
-        self.rungs = {}
-
-    def _end_of(self, name: str) -> float:
-        """When a task that begins to run now ends."""
-        return math.inf if self.endless(name.split("/")[0]) else trio.current_time() + self.run_s
-
-    def on(self) -> dict[str, int]:
-        """Tasks on the machine: name to attempt."""
+        if trio.current_time() - self.lease_renewed_at > self.lease_s:
+            self.discard_tasks()
+            self.session, self.sequence = self.session + 1, 0
+            self.lease_renewed_at = trio.current_time()
+        for name, task in self.tasks.items():
+            if task["phase"] == "fetching" and trio.current_time() >= self.phase_ends[name]:
+                task["phase"] = "running"
+                self.phase_ends[name] = self._run_end(name)
+            if task["phase"] == "running" and trio.current_time() >= self.phase_ends[name]:
+                task |= {"phase": "exited", "cause": "error" if name.split("/")[0] in self.failing_jobs else "done"}
+                self._record_end(name)
+
+    def _record_end(self, name: str) -> None:
+        """Record the end of an attempt."""
+        self.ended.append((trio.current_time(), name, self.tasks[name]["try"]))
+
+    def discard_tasks(self) -> None:
+        """Drop all tasks, because the lease expired or the machine was deleted."""
+        for name, task in self.tasks.items():
+            if task["phase"] != "exited":
+                self._record_end(name)
+        self.tasks = {}
+
+    def _run_end(self, name: str) -> float:
+        """End of a task that starts to run now."""
+        return math.inf if self.is_service(name.split("/")[0]) else trio.current_time() + self.run_s
+
+    def active_tasks(self) -> dict[str, int]:
+        """Tasks that have not exited, with their attempts."""
         self._progress()
-        return {name: rung["try"] for name, rung in self.rungs.items() if rung["phase"] != "exited"}
+        return {name: task["try"] for name, task in self.tasks.items() if task["phase"] != "exited"}
 
-    def obey(self, epoch: Any, orders: list[dict[str, Any]]) -> bool:
-        """Carry orders out if the token allows it."""
+    def apply_orders(self, epoch: Any, orders: list[dict[str, Any]]) -> bool:
+        """Execute orders, unless their epoch is older than the last one seen."""
         if not isinstance(epoch, int) or epoch < self.epoch:
             return False
         self.epoch = epoch
         for order in orders:
             name, attempt = order["rung"], order["try"]
-            rung = self.rungs.get(name)
+            task = self.tasks.get(name)
             if order["verb"] == "launch":
-                if rung is None:
+                if task is None:
                     phase = "fetching" if self.fetch_s else "running"
-                    self.rungs[name] = {"rung": name, "try": attempt, "phase": phase}
-                    self.ends[name] = trio.current_time() + self.fetch_s if self.fetch_s else self._end_of(name)
-                    self.log.append((trio.current_time(), name, attempt))
-            elif rung is not None and rung["try"] == attempt:
-                if order["verb"] == "stop" and rung["phase"] != "exited":
-                    rung |= {"phase": "exited", "cause": "stopped"}
-                    self._leaves(name)
-                elif order["verb"] == "reap" and rung["phase"] == "exited":
-                    del self.rungs[name]
+                    self.tasks[name] = {"rung": name, "try": attempt, "phase": phase}
+                    self.phase_ends[name] = trio.current_time() + self.fetch_s if self.fetch_s else self._run_end(name)
+                    self.started.append((trio.current_time(), name, attempt))
+            elif task is not None and task["try"] == attempt:
+                if order["verb"] == "stop" and task["phase"] != "exited":
+                    task |= {"phase": "exited", "cause": "stopped"}
+                    self._record_end(name)
+                elif order["verb"] == "reap" and task["phase"] == "exited":
+                    del self.tasks[name]
         return True
 
-    def hang(self, for_s: float) -> None:
-        """Do nothing for a while."""
+    def hang(self, duration_s: float) -> None:
+        """Suspend the worker and its tasks for a time."""
         self._progress()
-        self.hung_until = trio.current_time() + for_s
-        for name in self.ends:
-            self.ends[name] += for_s
+        self.hung_until = trio.current_time() + duration_s
+        for name in self.phase_ends:
+            self.phase_ends[name] += duration_s
 
     async def __call__(self, request: Request) -> Reply:
-        """/orders and /show."""
+        """Answer /orders and /show."""
         await trio.sleep_until(self.hung_until)
-        if self.dead or self.deaf or self.address in self.net.cut:
+        if self.dead or self.drop_incoming or self.address in self.net.cut:
             await trio.sleep_forever()
         if request.path == "/orders":
             body = msgspec.json.decode(request.body)
-            if self.hold:
-                self.held.append(body)
+            if self.withhold_orders:
+                self.withheld_orders.append(body)
                 await trio.sleep_forever()
-            status = 200 if self.late(body) else 409
-            if self.loses_answers:
+            status = 200 if self.handle_orders(body) else 409
+            if self.drop_answers:
                 await trio.sleep_forever()
-            return Reply(status, self.body())
-        return Reply(200, self.body())
+            return Reply(status, self.report())
+        return Reply(200, self.report())
 
-    def late(self, body: dict[str, Any]) -> bool:
-        """Carry a copy of /orders out, whenever it arrives."""
-        return body["tenure"] == self.tenure and self.obey(body["epoch"], body["orders"])
+    def handle_orders(self, body: dict[str, Any]) -> bool:
+        """Execute the body of an /orders request, possibly a late copy, if it is for the current session."""
+        return body["tenure"] == self.session and self.apply_orders(body["epoch"], body["orders"])
 
     async def run(self) -> None:
-        """Report for ever."""
+        """Report to the leader, forever."""
         origin.set(self.address)
         node = 0
         while True:
-            await trio.sleep(self.pace_s)
+            await trio.sleep(self.report_pause_s)
             await trio.sleep_until(self.hung_until)
             self._progress()
-            if self.dead or self.mute or self.address in self.net.cut:
+            if self.dead or self.reporting_disabled or self.address in self.net.cut:
                 continue
             host, _, port = self.controllers[node].partition(":")
-            sent, tenure = trio.current_time(), self.tenure
+            sent_at, session = trio.current_time(), self.session
             client = Client(host, int(port), max_idle=0)
-            self.sent.append(self.body())
+            self.sent_reports.append(self.report())
             try:
-                status, data = await client.call("POST", "/v1/report", self.sent[-1], 4.0)
+                status, data = await client.call("POST", "/v1/report", self.sent_reports[-1], 4.0)
                 answer = msgspec.json.decode(data)
             except Exception:
                 status, answer = 0, {}
-            if self.deaf:
+            if self.drop_incoming:
                 status = 0
-                await trio.sleep_until(sent + 4.0)
-            if status == 200 and tenure == self.tenure and self.obey(answer.get("epoch"), answer.get("orders", [])):
-                self.answered = sent
+                await trio.sleep_until(sent_at + 4.0)
+            if (
+                status == 200
+                and session == self.session
+                and self.apply_orders(answer.get("epoch"), answer.get("orders", []))
+            ):
+                self.lease_renewed_at = sent_at
             elif status == 421 and answer.get("foreman"):
                 node = int(answer["foreman"][1:])
             else:
                 node = (node + 1) % len(self.controllers)
-                await trio.sleep(self.pace_s)
-            await trio.sleep(self.pace_s)
+                await trio.sleep(self.report_pause_s)
+            await trio.sleep(self.report_pause_s)
